--- a/include/stairspur/routing/UpstreamPool.h
+++ b/include/stairspur/routing/UpstreamPool.h
@@ -14,67 +14,77 @@
 #include <stairspur/core/Random.h>
 #include <stairspur/core/Time.h>
 
-/// The entry's choice of an upstream, and its view of what the gates told. Pure: time and randomness are handed in.
+/// The entry's choice of an upstream for each call, from the load and the floors that the gates report.
+/// The module has no clock and no random source of its own: its callers pass both. Times are in microseconds.
+/// Errors are returned as a Reason; nothing is thrown.
 namespace stairspur::routing {
 
-/// An upstream as membership knows it.
+/// One upstream, as the membership table describes it.
 struct Upstream
 {
     NodeId node;
     std::string domain;
     Incarnation incarnation = 0;
-    std::uint32_t slots = 1;
+    std::uint32_t slots = 1; ///< Greatest number of calls that run at once.
     bool isDraining = false;
 };
 
+/// Settings of routing in one entry.
 struct RoutingSettings
 {
     NodeId ownNode;
     std::string ownDomain;
-    /// Upstreams per entry and service that get links, besides the local one.
+    /// Number of upstreams per entry and service that get links, besides the local one.
     std::uint32_t subsetSize = 16;
-    Duration reportHalfLife{500'000}; ///< Age at which a report counts half.
-    Duration slowStart{5'000'000};    ///< Time over which a new upstream comes to its full share.
-    double maxEjectedShare = 0.34;    ///< Of the pool, rounded down; never the last one.
-    Duration ejectionBase{1'000'000};
-    double probeShare = 0.01; ///< Of the calls below a floor that are sent all the same.
-    Duration retryAfterBase{100'000};
-    Duration retryAfterMax{10'000'000};
+    Duration reportHalfLife{500'000}; ///< Age at which a report has half its weight.
+    Duration slowStart{
+            5'000'000}; ///< Time over which a new upstream's share of the calls grows to its full value.
+    double maxEjectedShare =
+            0.34; ///< Share of the pool that may be ejected, rounded down; never the last one.
+    Duration ejectionBase{1'000'000}; ///< Length of the first ejection.
+    double probeShare = 0.01;         ///< Share of the calls below a floor that are sent as probes.
+    Duration retryAfterBase{100'000}; ///< Retry delay before it grows with the floor.
+    Duration retryAfterMax{10'000'000}; ///< Longest retry delay.
 };
 
+/// One call that needs an upstream.
 struct RouteRequest
 {
     Level level;
     TimePoint deadline;
-    std::span<const NodeId> excluded; ///< Upstreams that refused or failed this very call.
-    bool mayProbe = true; ///< Whether a call below the floor may be sent to learn whether it fell.
+    std::span<const NodeId> excluded; ///< Upstreams that have refused or failed this call.
+    bool mayProbe = true; ///< Whether the call may be sent as a probe when it is below the floor.
     PathKey path = NoPath;
-    /// The call belongs to a request that already runs: no floor known here refuses it, its gate's queue decides.
+    /// Whether the call belongs to a request that already runs. The entry's cached floors don't refuse such a call; the
+    /// queue of its gate decides.
     bool hasBegun = false;
 };
 
+/// Why an upstream was chosen or the call was refused.
 enum class RouteReason {
-    LessLoaded, ///< The better of two in the own failure domain.
-    OnlyCandidate,
-    Spilled, ///< To another failure domain: the own one refuses or waits too long.
-    Probe,   ///< Below the floor, to learn whether it fell.
-    ImportantBypass, ///< Every known floor is above the call, but lower levels may still be admitted somewhere.
-    BegunWork, ///< Every known floor is above the call, but it belongs to a request that already runs.
-    Refused,
+    LessLoaded,    ///< The less loaded of two upstreams in the own failure domain.
+    OnlyCandidate, ///< The only candidate in the own failure domain.
+    Spilled, ///< In another failure domain: the own one refuses the call or its wait is too long.
+    Probe,   ///< The call is below the floor and checks whether the floor has dropped.
+    ImportantBypass, ///< Every cached floor is above the call, but one is too old to refuse a call of its class.
+    BegunWork, ///< Every cached floor is above the call, but it belongs to a request that already runs.
+    Refused, ///< The call is refused.
 };
 
+/// The outcome of UpstreamPool::choose().
 struct RouteDecision
 {
-    std::optional<NodeId> node; ///< Empty: refuse.
+    std::optional<NodeId> node; ///< The chosen upstream; empty when the call is refused.
     RouteReason choice = RouteReason::Refused;
     Reason refusal = Reason::None; ///< BelowFloor, NoUpstream or Draining when refused.
-    Duration retryAfter{0};
-    std::uint32_t candidates = 0;
-    Level pathFloor; ///< Believed to hold below the service, on the request's path.
-    std::optional<Duration> pathFloorAge{}; ///< Of the youngest report of it; empty: none came.
+    Duration retryAfter{0};        ///< Delay after which a refused call may be retried.
+    std::uint32_t candidates = 0;  ///< Number of upstreams among which the choice was made.
+    Level pathFloor; ///< Estimated floor of the services below this one, on the request's path.
+    std::optional<Duration>
+            pathFloorAge{}; ///< Age of the latest report of it; empty without any report.
 };
 
-/// How an attempt ended, for the view of one upstream.
+/// The outcome of one attempt at an upstream.
 struct AttemptResult
 {
     NodeId node;
@@ -82,12 +92,12 @@
     Reason reason = Reason::None;
     Duration latency{0};
     std::optional<admission::LoadReport> report;
-    /// Of the call: what the gate did with it outranks the floors it reports.
+    /// Level of the call. The gate's handling of the call takes precedence over the floors that it reports.
     std::optional<Level> level;
     PathKey path = NoPath;
 };
 
-/// One service's upstreams, as one entry sees them.
+/// The upstreams of one service, with the state that one entry records of each.
 class UpstreamPool
 {
 public:
@@ -98,30 +108,34 @@
     auto operator=(const UpstreamPool &) -> UpstreamPool & = delete;
     auto operator=(UpstreamPool &&) noexcept -> UpstreamPool &;
 
-    /// The members of the service now. Known ones keep what was learnt of them; a greater incarnation starts anew.
+    /// Sets the current members of the service. Upstreams that were members before keep their recorded state; the state
+    /// is reset when the incarnation is greater than before.
     auto setUpstreams(std::span<const Upstream> upstreams, TimePoint now) -> void;
 
+    /// Chooses an upstream for a call, or refuses the call with a reason and a retry delay.
     auto choose(const RouteRequest &request, TimePoint now, Random &random) -> RouteDecision;
 
-    /// Whether calls can be sent to `node`. One that cannot be reached is no candidate, and no reason to admit anything.
+    /// Sets whether calls can be sent to `node`. An unreachable upstream is no candidate, and its floor is left out of
+    /// floorFor().
     auto setReachable(const NodeId &node, bool isReachable) -> void;
 
-    /// An attempt goes to `node`.
+    /// Records that an attempt is sent to `node`.
     auto didSend(const NodeId &node, TimePoint now) -> void;
 
-    /// The attempt ended; counts against didSend().
+    /// Records the outcome of an attempt. Each call matches one call of didSend().
     auto didEnd(const AttemptResult &result, TimePoint now, Random &random) -> void;
 
-    /// A report that came by itself, without an attempt of ours.
+    /// Records a report that was received outside an attempt of this entry.
     auto didReport(const NodeId &node, const admission::LoadReport &report, TimePoint now) -> void;
 
-    /// The lowest level that some reachable upstream admits, for a class and path: what deeper services tell upwards.
+    /// Returns the lowest level that a reachable upstream is expected to admit, for a class and path. Services report it
+    /// to their own callers. Returns ClosedLevel when no upstream is usable.
     [[nodiscard]] auto floorFor(FloorKey key, TimePoint now) const -> Level;
 
-    /// How long a call takes that is answered, smoothed over the answers. Zero before the first one.
+    /// Returns the smoothed latency of answered calls, or zero before the first answer.
     [[nodiscard]] auto expectedLatency() const -> Duration;
 
-    /// The upstreams that this entry keeps links to.
+    /// Returns the upstreams that this entry keeps links to.
     [[nodiscard]] auto subset() const -> std::vector<NodeId>;
 
 private:
--- a/source/routing/CandidateTiers.cpp
+++ b/source/routing/CandidateTiers.cpp
@@ -4,21 +4,22 @@
 
 namespace stairspur::routing {
 
-/// A call leaves its own failure domain when it would wait there for more than this part of the time that is left.
-static constexpr auto ComfortableDivisor = 4;
+/// A call is sent to another failure domain when its expected wait in its own one is more than this fraction of the time
+/// that remains until its deadline.
+static constexpr auto ShortWaitDivisor = 4;
 
-/// From this class rank on, a floor refuses calls without asking for a whole half-life.
-static constexpr auto RankOfWholeHalfLife = 9;
+/// From this class rank on, a cached floor refuses calls for a full half-life.
+static constexpr auto FullHalfLifeRank = 9;
 
 auto maxFloorAge(ClassRank rank, Duration halfLife) -> Duration
 {
-    const auto tenths = std::min<int>(rank, RankOfWholeHalfLife) + 1;
-    return halfLife * tenths / (RankOfWholeHalfLife + 1);
+    const auto tenths = std::min<int>(rank, FullHalfLifeRank) + 1;
+    return halfLife * tenths / (FullHalfLifeRank + 1);
 }
 
 auto CandidateTiers::add(const UpstreamView &view, std::size_t index) -> void
 {
-    ++m_seen;
+    ++m_added;
     if (view.isDraining(m_now, m_settings.reportHalfLife)) {
         ++m_draining;
         return;
@@ -50,8 +51,7 @@
     return std::max(own, std::min(m_pathFloor.floorOf(view), proven));
 }
 
-/// How long ago the floor was reported that stands above the call. The path's is as young as the last report of any
-/// upstream.
+/// Returns the age of the floor that is above the call. A path floor is as old as the latest report from any upstream.
 auto CandidateTiers::floorAge(const UpstreamView &view) const -> Duration
 {
     const auto ofView = view.floors().age({m_request.level.rank(), m_request.path}, m_now);
@@ -67,7 +67,7 @@
         return admittedTierOf(view);
     if (floorAge(view) <= maxFloorAge(m_request.level.rank(), m_settings.reportHalfLife))
         return Tier::BelowFloor;
-    return Tier::OldFloor;
+    return Tier::StaleFloor;
 }
 
 auto CandidateTiers::admittedTierOf(const UpstreamView &view) const -> Tier
@@ -78,9 +78,9 @@
     if (expected > remaining)
         return Tier::TooLate;
     if (!view.isInSubset())
-        return isOwnDomain ? Tier::WidenedOwn : Tier::WidenedOther;
-    const auto wait = expected - view.outcomes().leastLatency();
-    if (wait <= remaining / ComfortableDivisor)
+        return isOwnDomain ? Tier::OwnDomainOutsideSubset : Tier::OtherDomainOutsideSubset;
+    const auto wait = expected - view.outcomes().minLatency();
+    if (wait <= remaining / ShortWaitDivisor)
         return isOwnDomain ? Tier::OwnDomain : Tier::OtherDomain;
     return isOwnDomain ? Tier::OwnDomainLate : Tier::OtherDomainLate;
 }
@@ -94,7 +94,7 @@
     return std::nullopt;
 }
 
-auto CandidateTiers::hasTimely() const -> bool
+auto CandidateTiers::hasTimelyInSubset() const -> bool
 {
     const auto tier = best();
     return tier && *tier <= Tier::OtherDomainLate;
--- a/source/routing/CandidateTiers.h
+++ b/source/routing/CandidateTiers.h
@@ -12,27 +12,28 @@
 
 namespace stairspur::routing {
 
-/// Why an upstream may be chosen for a call, the best first.
+/// How well an upstream suits a call, from best to worst.
 enum class Tier {
-    OwnDomain,     ///< Admits the call and waits for a small part of what is left.
-    OtherDomain,   ///< The same, in another failure domain.
-    OwnDomainLate, ///< Waits longer, but within what is left.
-    OtherDomainLate,
-    WidenedOwn, ///< Outside the subset, own failure domain.
-    WidenedOther,
-    TooLate,    ///< Admits the call, but by its reports cannot answer in time: only the gate knows.
-    OldFloor,   ///< The floor is above the call, but the view is too old to refuse by.
-    BelowFloor, ///< The floor is above the call, and the view is fresh.
+    OwnDomain, ///< Admits the call, with an expected wait that is short beside the remaining time.
+    OtherDomain,              ///< The same as OwnDomain, in another failure domain.
+    OwnDomainLate,            ///< Admits the call after a longer wait, within the remaining time.
+    OtherDomainLate,          ///< The same as OwnDomainLate, in another failure domain.
+    OwnDomainOutsideSubset,   ///< Outside the subset, in the own failure domain.
+    OtherDomainOutsideSubset, ///< Outside the subset, in another failure domain.
+    TooLate, ///< Admits the call, but its reports show a wait beyond the deadline; the gate decides.
+    StaleFloor, ///< The floor is above the call, but it is too old to refuse the call.
+    BelowFloor, ///< The floor is above the call and recent.
 };
 
+/// Number of tiers.
 inline constexpr std::size_t TierCount = 9;
 
-/// How old a floor may be to refuse a call of class `rank` without asking the gate: the more
-/// important the class, the younger. Each gate is asked about once in this time by each entry,
-/// however many calls stand below its floor.
+/// Returns the greatest age at which a cached floor refuses a call of class `rank`; for an older floor the call is sent
+/// and its gate decides. The age is shorter for more important classes. Each entry sends each gate about one such call
+/// in this time, however many calls are below its floor.
 auto maxFloorAge(ClassRank rank, Duration halfLife) -> Duration;
 
-/// The upstreams that a call may go to, by tier.
+/// The upstreams that a call may be sent to, grouped by tier.
 class CandidateTiers
 {
 public:
@@ -45,25 +46,28 @@
         , m_pathFloor(pathFloor)
     {}
 
-    /// Puts an upstream into its tier, or counts why it is none.
+    /// Adds an upstream to its tier. One that is draining, ejected, unreachable or excluded is in no tier.
     auto add(const UpstreamView &view, std::size_t index) -> void;
 
+    /// Returns the indices of the upstreams in `tier`.
     [[nodiscard]] auto members(Tier tier) const -> const std::vector<std::uint32_t> &
     {
         return m_tiers[static_cast<std::size_t>(tier)];
     }
 
-    /// The best tier that has members; BelowFloor is not among them.
+    /// Returns the best tier that has members, without BelowFloor.
     [[nodiscard]] auto best() const -> std::optional<Tier>;
 
-    /// Whether a call can be placed in the subset, in time.
-    [[nodiscard]] auto hasTimely() const -> bool;
+    /// Returns whether an upstream of the subset is expected to answer in time.
+    [[nodiscard]] auto hasTimelyInSubset() const -> bool;
 
-    /// The lowest floor that stands above the call, those that refused it already included.
+    /// Returns the lowest floor that is above the call. Excluded upstreams count too.
     [[nodiscard]] auto lowestFloor() const -> std::optional<Level> { return m_lowestFloor; }
 
+    /// Returns whether an added upstream is draining.
     [[nodiscard]] auto hasDraining() const -> bool { return m_draining > 0; }
-    [[nodiscard]] auto hasOtherThanDraining() const -> bool { return m_seen > m_draining; }
+    /// Returns whether an added upstream is not draining.
+    [[nodiscard]] auto hasNonDraining() const -> bool { return m_added > m_draining; }
 
 private:
     [[nodiscard]] auto isExcluded(const NodeId &node) const -> bool;
@@ -79,7 +83,7 @@
     const PathFloorEstimate &m_pathFloor;
     std::array<std::vector<std::uint32_t>, TierCount> m_tiers;
     std::optional<Level> m_lowestFloor;
-    std::size_t m_seen = 0;
+    std::size_t m_added = 0;
     std::size_t m_draining = 0;
 };
 
--- a/source/routing/FloorView.cpp
+++ b/source/routing/FloorView.cpp
@@ -5,26 +5,27 @@
 
 namespace stairspur::routing {
 
-/// How far a floor falls in each half-life, after the first one.
-static constexpr auto FallPerHalfLife = HashesPerClass;
+/// Amount by which a floor decays in each half-life after the first one.
+static constexpr auto DecayPerHalfLife = HashesPerClass;
 
 static constexpr auto MaxRanks = std::size_t{MaxClassRank} + 1;
 
-auto fallenFloor(Level floor, Duration age, Duration halfLife) -> Level
+auto decayedFloor(Level floor, Duration age, Duration halfLife) -> Level
 {
     if (age <= halfLife)
         return floor;
     if (age > halfLife * FloorLifetimeHalfLives)
         return LowestLevel;
-    const auto fall = (age - halfLife).count() * FallPerHalfLife / halfLife.count();
-    return Level{static_cast<std::uint16_t>(std::max<std::int64_t>(0, floor.value - fall))};
+    const auto decay = (age - halfLife).count() * DecayPerHalfLife / halfLife.count();
+    return Level{static_cast<std::uint16_t>(std::max<std::int64_t>(0, floor.value - decay))};
 }
 
 auto freshness(Duration age, Duration halfLife) -> double
 {
-    static constexpr auto FreshnessDivisor = 5;
-    const auto unit = static_cast<double>(halfLife.count()) / FreshnessDivisor;
-    return std::exp2(-static_cast<double>(std::max(age, Duration::zero()).count()) / unit);
+    static constexpr auto WeightHalfLifeDivisor = 5;
+    const auto weightHalfLife = static_cast<double>(halfLife.count()) / WeightHalfLifeDivisor;
+    return std::exp2(-static_cast<double>(std::max(age, Duration::zero()).count())
+                     / weightHalfLife);
 }
 
 auto FloorView::rankFloor(ClassRank rank) const -> Level
@@ -39,23 +40,23 @@
     return std::max(pathFloor(key.path), rankFloor(key.rank));
 }
 
-auto FloorView::heldFloor(FloorKey key) const -> HeldFloor
+auto FloorView::currentFloor(FloorKey key) const -> CurrentFloor
 {
-    return heldFloor(key, reportedFloor(key));
+    return currentFloor(key, reportedFloor(key));
 }
 
-auto FloorView::heldFloor(FloorKey key, Level reported) const -> HeldFloor
+auto FloorView::currentFloor(FloorKey key, Level reported) const -> CurrentFloor
 {
-    auto held = HeldFloor{reported, m_reportedAt};
+    auto current = CurrentFloor{reported, m_reportedAt};
     for (const auto &it : m_refusals) {
-        if (it.key == key && it.held.floor >= held.floor)
-            held = it.held;
+        if (it.key == key && it.current.floor >= current.floor)
+            current = it.current;
     }
-    return held;
+    return current;
 }
 
-auto FloorView::take(std::span<const Level> floors, std::vector<PathFloor> pathFloors,
-                     TimePoint now) -> void
+auto FloorView::update(std::span<const Level> floors, std::vector<PathFloor> pathFloors,
+                       TimePoint now) -> void
 {
     auto bounded =
             std::vector<Level>(floors.begin(), floors.begin() + std::min(floors.size(), MaxRanks));
@@ -64,13 +65,13 @@
     for (std::size_t rank = 0; rank < MaxRanks; ++rank) {
         const auto reported =
                 bounded.empty() ? LowestLevel : bounded[std::min(rank, bounded.size() - 1)];
-        if (reported > heldFloor(static_cast<ClassRank>(rank)).floor)
-            m_risenAt = now;
+        if (reported > currentFloor(static_cast<ClassRank>(rank)).floor)
+            m_lastRiseAt = now;
     }
     for (auto &it : pathFloors) {
         it.floor = std::min(it.floor, ClosedLevel);
         if (it.floor > floorOfPath(m_pathFloors, it.path))
-            m_risenAt = now;
+            m_lastRiseAt = now;
     }
     m_floors = std::move(bounded);
     m_pathFloors = std::move(pathFloors);
@@ -86,19 +87,19 @@
     if (level >= m_admitted)
         m_admitted = ClosedLevel;
     const auto key = FloorKey(level.rank(), path);
-    auto held = heldFloor(key);
-    if (held.floor <= level) {
-        held.floor = Level{static_cast<std::uint16_t>(level.value + 1)};
-        m_risenAt = now;
+    auto current = currentFloor(key);
+    if (current.floor <= level) {
+        current.floor = Level{static_cast<std::uint16_t>(level.value + 1)};
+        m_lastRiseAt = now;
     }
-    held.at = now;
+    current.at = now;
     std::erase_if(m_refusals, [&](const auto &it) { return it.key == key; });
-    m_refusals.push_back({key, held});
+    m_refusals.push_back({key, current});
 }
 
 auto FloorView::didAdmit(Level level, TimePoint sentAt, TimePoint now, PathKey path) -> void
 {
-    if (heldFloor({level.rank(), path}).floor <= level || sentAt < m_risenAt)
+    if (currentFloor({level.rank(), path}).floor <= level || sentAt < m_lastRiseAt)
         return;
     m_admitted = path == m_admittedPath ? std::min(m_admitted, level) : level;
     m_admittedPath = path;
@@ -107,14 +108,14 @@
 
 auto FloorView::floorFor(FloorKey key, TimePoint now, Duration halfLife) const -> Level
 {
-    const auto floor = fallenFloor(heldFloor(key).floor, age(key, now), halfLife);
+    const auto floor = decayedFloor(currentFloor(key).floor, age(key, now), halfLife);
     return std::min(floor, provenLevel(key.path, now, halfLife));
 }
 
 auto FloorView::ownFloorFor(FloorKey key, TimePoint now, Duration halfLife) const -> Level
 {
-    const auto held = heldFloor(key, rankFloor(key.rank));
-    const auto floor = fallenFloor(held.floor, now - held.at, halfLife);
+    const auto current = currentFloor(key, rankFloor(key.rank));
+    const auto floor = decayedFloor(current.floor, now - current.at, halfLife);
     return std::min(floor, provenLevel(key.path, now, halfLife));
 }
 
@@ -126,7 +127,7 @@
 
 auto FloorView::age(FloorKey key, TimePoint now) const -> Duration
 {
-    return std::max(Duration::zero(), now - heldFloor(key).at);
+    return std::max(Duration::zero(), now - currentFloor(key).at);
 }
 
 } // namespace stairspur::routing
--- a/source/routing/FloorView.h
+++ b/source/routing/FloorView.h
@@ -8,86 +8,92 @@
 
 namespace stairspur::routing {
 
-/// After this many half-lives nothing is left of a floor that nobody refreshed.
+/// Number of half-lives after which a floor without a new report no longer applies.
 inline constexpr auto FloorLifetimeHalfLives = 8;
 
-/// What is left of a floor that was told `age` ago: it holds for a half-life, then falls evenly, and is gone after a
-/// bounded time.
-auto fallenFloor(Level floor, Duration age, Duration halfLife) -> Level;
+/// Returns the remaining value of a floor that was reported `age` ago. It stays the same for one half-life, then decays
+/// linearly, and is the lowest level after FloorLifetimeHalfLives.
+auto decayedFloor(Level floor, Duration age, Duration halfLife) -> Level;
 
-/// The weight of a floor that was told `age` ago, beside others: 1 for this moment, half of it after each fifth of the
-/// half-life of loads (0.1 s by default). Floors follow a surge within some windows of 20 ms, so that one of 0.1 s ago
-/// already says less than one of now.
+/// Returns the weight of a floor that was reported `age` ago, relative to other floors: 1 for a floor reported now, and
+/// half as much after each fifth of the half-life of loads (0.1 s by default). Gates adapt their floors to a surge within
+/// a few windows of 20 ms, so a floor that is 0.1 s old is less accurate than a current one.
 auto freshness(Duration age, Duration halfLife) -> double;
 
-/// The floors of one upstream, as far as its reports and what it did with our calls tell. What it did outranks what it
-/// reports; what nobody refreshes falls, and is gone after a bounded time.
+/// The floors of one upstream, from its reports and from the outcomes of this entry's calls. An outcome takes precedence
+/// over a report. Floors that are not refreshed decay and no longer apply after a bounded time.
 class FloorView
 {
 public:
-    /// Takes the floors of a report.
-    auto take(std::span<const Level> floors, TimePoint now) -> void { take(floors, {}, now); }
-    auto take(std::span<const Level> floors, std::vector<PathFloor> pathFloors, TimePoint now)
+    /// Replaces the floors by those of a new report.
+    auto update(std::span<const Level> floors, TimePoint now) -> void { update(floors, {}, now); }
+    auto update(std::span<const Level> floors, std::vector<PathFloor> pathFloors, TimePoint now)
             -> void;
 
-    /// The upstream refused a call of `level`: its floor is above it.
+    /// Records that the upstream refused a call of `level`, so its floor is above `level`.
     auto didRefuse(Level level, TimePoint now, PathKey path = NoPath) -> void;
 
-    /// The upstream answered a call of `level` that was sent at `sentAt`. When the floor was believed to be above the
-    /// call even then, the reports mislead or are old: the level is taken as admitted for a while.
+    /// Records that the upstream answered a call of `level` that was sent at `sentAt`. If the recorded floor was already
+    /// above the call at that time, the reports are wrong or old, and the level counts as admitted for a half-life.
     auto didAdmit(Level level, TimePoint sentAt, TimePoint now, PathKey path = NoPath) -> void;
 
-    /// The floor that a call of this class and path is believed to meet now.
+    /// Returns the estimated current floor for calls of this class and path.
     [[nodiscard]] auto floorFor(FloorKey key, TimePoint now, Duration halfLife) const -> Level;
 
-    /// The same without what the reports tell of single paths: the upstream's own load, as far as this entry knows it.
+    /// Returns the same estimate without the reported path floors, so that it depends on the upstream's own load only.
     [[nodiscard]] auto ownFloorFor(FloorKey key, TimePoint now, Duration halfLife) const -> Level;
 
-    /// The floor that the last report told for a path; the lowest one where it did not name the path.
+    /// Returns the floor of a path in the last report, or the lowest level if the report doesn't list the path.
     [[nodiscard]] auto pathFloor(PathKey path) const -> Level
     {
         return floorOfPath(m_pathFloors, path);
     }
 
-    /// Whether and when the last report came.
+    /// Returns whether a report was received.
     [[nodiscard]] auto hasReported() const -> bool { return m_hasReported; }
+
+    /// Returns when the last report was received.
     [[nodiscard]] auto reportedAt() const -> TimePoint { return m_reportedAt; }
 
-    /// The lowest level that an answer has lately proven to be admitted on a path, whatever the reports tell.
+    /// Returns the lowest level that an answer of the last half-life proved to be admitted on a path, regardless of the
+    /// reports; ClosedLevel without such an answer.
     [[nodiscard]] auto provenLevel(PathKey path, TimePoint now, Duration halfLife) const -> Level;
 
-    /// How long ago a report, or a refusal of a call of this class, told of the floor.
+    /// Returns the time since the floor was last reported, or last shown by a refusal of a call of this class and path.
     [[nodiscard]] auto age(FloorKey key, TimePoint now) const -> Duration;
 
 private:
-    struct HeldFloor
+    /// A floor and the time at which it was last reported or shown by a refusal.
+    struct CurrentFloor
     {
         Level floor;
         TimePoint at{};
     };
 
-    /// A refusal tells of its own class and path alone: the other floors stay as old as they are.
+    /// A floor that a refusal showed. It applies to the class and path of the refused call only; other floors keep their
+    /// age.
     struct Refusal
     {
         FloorKey key;
-        HeldFloor held;
+        CurrentFloor current;
     };
 
     [[nodiscard]] auto rankFloor(ClassRank rank) const -> Level;
     [[nodiscard]] auto reportedFloor(FloorKey key) const -> Level;
-    [[nodiscard]] auto heldFloor(FloorKey key) const -> HeldFloor;
-    /// `reported` or a refusal's floor, whichever is greater.
-    [[nodiscard]] auto heldFloor(FloorKey key, Level reported) const -> HeldFloor;
+    [[nodiscard]] auto currentFloor(FloorKey key) const -> CurrentFloor;
+    /// Returns `reported` or the floor of a refusal, whichever is greater.
+    [[nodiscard]] auto currentFloor(FloorKey key, Level reported) const -> CurrentFloor;
 
-    std::vector<Level> m_floors; ///< As reported.
+    std::vector<Level> m_floors; ///< By class rank, from the last report.
     std::vector<PathFloor> m_pathFloors;
-    std::vector<Refusal> m_refusals; ///< Since that report, one for each class and path at most.
+    std::vector<Refusal>
+            m_refusals; ///< Since the last report, at most one for each class and path.
     bool m_hasReported = false;
     TimePoint m_reportedAt{};
-    TimePoint m_risenAt{}; ///< When a floor last rose.
+    TimePoint m_lastRiseAt{}; ///< Time of the last increase of a floor.
     TimePoint m_admittedAt{};
-    PathKey m_admittedPath = NoPath; ///< On other paths the answer proves nothing.
-    Level m_admitted = ClosedLevel;  ///< Proven by an answer at m_admittedAt.
+    PathKey m_admittedPath = NoPath; ///< The only path that the answer at m_admittedAt applies to.
+    Level m_admitted = ClosedLevel;  ///< Lowest level proved by the answer at m_admittedAt.
 };
 
 } // namespace stairspur::routing
--- a/source/routing/LoadEstimate.cpp
+++ b/source/routing/LoadEstimate.cpp
@@ -4,8 +4,8 @@
 
 namespace stairspur::routing {
 
-/// Keeps a failing upstream's load finite.
-static constexpr auto LeastSuccessRate = 0.02;
+/// Lower bound of the success rate that a load is divided by; it keeps the load of a failing upstream finite.
+static constexpr auto MinSuccessRate = 0.02;
 
 auto LoadEstimate::include(const UpstreamView &view) -> void
 {
@@ -20,7 +20,7 @@
     const auto confidence = view.reports().confidence(m_now, m_halfLife);
     const auto others = confidence * view.reports().othersLoad() + (1.0 - confidence) * mean;
     const auto own = static_cast<double>(view.inFlight() + 1) / static_cast<double>(view.limit());
-    const auto rate = std::max(LeastSuccessRate, view.outcomes().successRate(m_now, m_recovery));
+    const auto rate = std::max(MinSuccessRate, view.outcomes().successRate(m_now, m_recovery));
     return (others + own) / rate;
 }
 
@@ -28,7 +28,7 @@
 {
     const auto confidence = view.reports().confidence(m_now, m_halfLife);
     const auto wait = static_cast<double>(view.reports().estimatedWait().count()) * confidence;
-    return Duration{static_cast<Duration::rep>(wait)} + view.outcomes().leastLatency();
+    return Duration{static_cast<Duration::rep>(wait)} + view.outcomes().minLatency();
 }
 
 } // namespace stairspur::routing
--- a/source/routing/LoadEstimate.h
+++ b/source/routing/LoadEstimate.h
@@ -4,7 +4,7 @@
 
 namespace stairspur::routing {
 
-/// What the pool as a whole tells of an upstream whose own report is old or missing.
+/// Estimates the load of upstreams. For an upstream with an old or missing report the estimate uses the mean of the pool.
 class LoadEstimate
 {
 public:
@@ -14,15 +14,16 @@
         , m_recovery(recovery)
     {}
 
-    /// Takes an upstream into the mean, by the confidence in its report.
+    /// Includes an upstream in the mean, weighted by the confidence in its report.
     auto include(const UpstreamView &view) -> void;
 
-    /// The load of an upstream with one more call: lower is better. Others' calls are the reported ones, drawn towards
-    /// the pool's mean as the report ages; our own ones are counted exactly. Divided by the share of our calls that
-    /// end well, so that an upstream which fails fast does not look idle.
+    /// Returns the load of an upstream with one more call, as a multiple of its limit; lower is better. The load of other
+    /// entries' calls comes from the report and moves towards the pool's mean as the report ages; this entry's own calls
+    /// are counted exactly. The sum is divided by the success rate, so that an upstream that fails fast doesn't look idle.
     [[nodiscard]] auto loadOf(const UpstreamView &view) const -> double;
 
-    /// How long a call sent now is believed to take at the least: the aged wait, service and distance.
+    /// Returns the least expected duration of a call that is sent now: the reported wait, reduced by the report's age,
+    /// plus the least latency, which covers service time and network distance.
     [[nodiscard]] auto expectedTime(const UpstreamView &view) const -> Duration;
 
 private:
--- a/source/routing/OutcomeView.cpp
+++ b/source/routing/OutcomeView.cpp
@@ -5,21 +5,23 @@
 
 namespace stairspur::routing {
 
-/// Weight of one attempt in the smoothed success rate: about the last ten attempts count.
+/// Weight of one attempt in the smoothed success rate, which thus covers about the last ten attempts.
 static constexpr auto AttemptWeight = 0.1F;
 
-/// From this many failures in a row on, each weighs more: nothing speaks for the upstream any more.
-static constexpr std::uint32_t FailuresOfARow = 3;
-static constexpr auto RowWeight = 0.5F;
+/// From this many consecutive failures on, each failure has the greater ConsecutiveFailureWeight, because no recent
+/// attempt succeeded.
+static constexpr std::uint32_t ConsecutiveFailuresThreshold = 3;
+static constexpr auto ConsecutiveFailureWeight = 0.5F;
 
-/// By this share the least latency may rise with each answer, so that a moved upstream is noticed.
+/// Divisor for the share by which the least latency may rise with each answer. The rise lets the value follow an upstream
+/// that has moved further away.
 static constexpr auto LatencyRiseDivisor = 64;
 
 auto OutcomeView::didSucceed(Duration latency, TimePoint now) -> void
 {
     const auto bounded = std::max(latency, Duration{1});
-    const auto risen = m_leastLatency + m_leastLatency / LatencyRiseDivisor + Duration{1};
-    m_leastLatency = m_leastLatency == Duration::zero() ? bounded : std::min(bounded, risen);
+    const auto risen = m_minLatency + m_minLatency / LatencyRiseDivisor + Duration{1};
+    m_minLatency = m_minLatency == Duration::zero() ? bounded : std::min(bounded, risen);
     m_successRate += AttemptWeight * (1.0F - m_successRate);
     m_consecutiveFailures = 0;
     ++m_attempts;
@@ -29,8 +31,8 @@
 auto OutcomeView::didFail(TimePoint now) -> void
 {
     ++m_consecutiveFailures;
-    const auto isRow = m_consecutiveFailures >= FailuresOfARow;
-    m_successRate -= (isRow ? RowWeight : AttemptWeight) * m_successRate;
+    const auto isConsecutive = m_consecutiveFailures >= ConsecutiveFailuresThreshold;
+    m_successRate -= (isConsecutive ? ConsecutiveFailureWeight : AttemptWeight) * m_successRate;
     ++m_attempts;
     m_endedAt = now;
 }
@@ -45,7 +47,7 @@
     return 1.0 - (1.0 - m_successRate) * decay;
 }
 
-auto OutcomeView::forgetFailures() -> void
+auto OutcomeView::resetFailures() -> void
 {
     m_successRate = 1;
     m_consecutiveFailures = 0;
--- a/source/routing/OutcomeView.h
+++ b/source/routing/OutcomeView.h
@@ -6,36 +6,39 @@
 
 namespace stairspur::routing {
 
-/// How our own calls to one upstream ended.
+/// The outcomes of this entry's own calls to one upstream.
 class OutcomeView
 {
 public:
-    /// An answer came whole after `latency`.
+    /// Records a complete response that took `latency`.
     auto didSucceed(Duration latency, TimePoint now) -> void;
 
-    /// An attempt failed or was lost, other than by a refusal for overload.
+    /// Records a failed or lost attempt. Refusals for overload don't count as failures.
     auto didFail(TimePoint now) -> void;
 
-    /// Share of attempts that ended well, smoothed; comes back to 1 while nothing is sent.
+    /// Returns the smoothed share of successful attempts. It returns to 1 with the half-life `recovery` while no attempt
+    /// ends.
     [[nodiscard]] auto successRate(TimePoint now, Duration recovery) const -> double;
 
+    /// Returns the number of failures since the last success.
     [[nodiscard]] auto consecutiveFailures() const -> std::uint32_t
     {
         return m_consecutiveFailures;
     }
 
-    /// Attempts that ended since the start or the last forget().
+    /// Returns the number of attempts that ended since the start or the last resetFailures().
     [[nodiscard]] auto attempts() const -> std::uint32_t { return m_attempts; }
 
-    /// The least that an answer takes, distance included; zero before the first one. Rises slowly, falls at once.
-    [[nodiscard]] auto leastLatency() const -> Duration { return m_leastLatency; }
+    /// Returns the least latency of an answer, network distance included, or zero before the first answer. It rises slowly
+    /// and falls at once.
+    [[nodiscard]] auto minLatency() const -> Duration { return m_minLatency; }
 
-    /// Gives the upstream another chance after an ejection; the latency stays known.
-    auto forgetFailures() -> void;
+    /// Resets the success rate and the failure count after an ejection; the least latency is kept.
+    auto resetFailures() -> void;
 
 private:
     TimePoint m_endedAt{};
-    Duration m_leastLatency{0};
+    Duration m_minLatency{0};
     std::uint32_t m_attempts = 0;
     std::uint32_t m_consecutiveFailures = 0;
     float m_successRate = 1;
--- a/source/routing/OutlierEjection.cpp
+++ b/source/routing/OutlierEjection.cpp
@@ -6,22 +6,22 @@
 namespace stairspur::routing {
 
 static constexpr std::uint32_t ConsecutiveFailuresToEject = 5;
-static constexpr std::uint32_t AttemptsToJudgeRate = 20;
-static constexpr auto RateBelowPool = 0.3;
+static constexpr std::uint32_t MinAttemptsForRate = 20;
+static constexpr auto RateGapToEject = 0.3;
 
-/// Ejections double up to base x 2^5.
+/// The length of ejections doubles up to base x 2^5.
 static constexpr std::uint32_t MaxDoublings = 5;
 
-/// An upstream that stayed in for this many times the longest ejection starts from the base again.
-static constexpr auto GoodBehaviourFactor = 2;
+/// After this many times the longest ejection without a new one, the next ejection has the base length again.
+static constexpr auto EjectionResetFactor = 2;
 
-auto OutlierEjection::isOutlier(const OutcomeView &outcomes, double poolRate, TimePoint now,
+auto OutlierEjection::isOutlier(const OutcomeView &outcomes, double poolSuccessRate, TimePoint now,
                                 Duration recovery) -> bool
 {
     if (outcomes.consecutiveFailures() >= ConsecutiveFailuresToEject)
         return true;
-    return outcomes.attempts() >= AttemptsToJudgeRate
-           && outcomes.successRate(now, recovery) < poolRate - RateBelowPool;
+    return outcomes.attempts() >= MinAttemptsForRate
+           && outcomes.successRate(now, recovery) < poolSuccessRate - RateGapToEject;
 }
 
 auto OutlierEjection::maxEjected(std::size_t upstreams, double maxShare) -> std::size_t
@@ -36,10 +36,10 @@
 auto OutlierEjection::eject(TimePoint now, Duration base) -> void
 {
     const auto longest = base * (1U << MaxDoublings);
-    if (now - m_until > longest * GoodBehaviourFactor)
-        m_inARow = 0;
-    m_until = now + base * (1U << std::min(m_inARow, MaxDoublings));
-    ++m_inARow;
+    if (now - m_until > longest * EjectionResetFactor)
+        m_consecutiveEjections = 0;
+    m_until = now + base * (1U << std::min(m_consecutiveEjections, MaxDoublings));
+    ++m_consecutiveEjections;
 }
 
 } // namespace stairspur::routing
--- a/source/routing/OwnFloorEstimate.cpp
+++ b/source/routing/OwnFloorEstimate.cpp
@@ -4,8 +4,8 @@
 
 namespace stairspur::routing {
 
-/// Part of the upstreams, by the weight of their reports, that may have a lower floor.
-static constexpr auto LowestShare = 0.25;
+/// Share of the upstreams, by the weight of their reports, that may have a lower floor than the estimate.
+static constexpr auto LowerQuartile = 0.25;
 
 auto OwnFloorEstimate::include(const UpstreamView &view) -> void
 {
@@ -20,13 +20,13 @@
 {
     auto floors = m_floors;
     std::sort(floors.begin(), floors.end(),
-              [](const AgedFloor &a, const AgedFloor &b) { return a.floor < b.floor; });
-    auto left = 0.0;
+              [](const WeightedFloor &a, const WeightedFloor &b) { return a.floor < b.floor; });
+    auto remainingWeight = 0.0;
     for (const auto &it : floors)
-        left += it.weight * LowestShare;
+        remainingWeight += it.weight * LowerQuartile;
     for (const auto &it : floors) {
-        left -= it.weight;
-        if (left <= 0)
+        remainingWeight -= it.weight;
+        if (remainingWeight <= 0)
             return it.floor;
     }
     return LowestLevel;
--- a/source/routing/OwnFloorEstimate.h
+++ b/source/routing/OwnFloorEstimate.h
@@ -6,12 +6,13 @@
 
 namespace stairspur::routing {
 
-/// The floor that the upstreams of a service hold for their own load, as an entry tells it to those who call through its host.
+/// Estimates the floor that the upstreams of a service set for their own load. An entry reports it to the callers that
+/// use its host.
 ///
-/// Calls go to the upstreams that admit them, so that the lowest floor counts as long as it was reported a moment ago.
-/// Where an entry hears of each upstream only now and then, the lowest of many old floors is merely the oldest: in a
-/// surge it tells how things stood before. So the floor is the lower quartile of what was reported lately, each report
-/// weighed by its age.
+/// Calls are sent to the upstreams that admit them, so the lowest floor would be right if all reports were current. An
+/// entry that rarely receives a report of each upstream has mostly old floors; in a surge the lowest of them is the
+/// oldest one and shows the load before the surge. The estimate is therefore the lower quartile of the floors that were
+/// reported within a half-life, each weighted by its age.
 class OwnFloorEstimate
 {
 public:
@@ -21,23 +22,24 @@
         , m_halfLife(halfLife)
     {}
 
-    /// Takes in what is known of an upstream that can be used, if it was heard of within a half-life.
+    /// Includes the floor of a usable upstream if it was reported within a half-life.
     auto include(const UpstreamView &view) -> void;
 
-    /// The lowest level where nobody was heard of.
+    /// Returns the estimate, or the lowest level if no floor was included.
     [[nodiscard]] auto floor() const -> Level;
 
 private:
-    struct AgedFloor
+    /// The floor of one upstream.
+    struct WeightedFloor
     {
         Level floor;
-        double weight = 0; ///< By the age of the report.
+        double weight = 0; ///< From the age of the report.
     };
 
     FloorKey m_key;
     TimePoint m_now;
     Duration m_halfLife;
-    std::vector<AgedFloor> m_floors;
+    std::vector<WeightedFloor> m_floors;
 };
 
 } // namespace stairspur::routing
--- a/source/routing/PathFloorEstimate.cpp
+++ b/source/routing/PathFloorEstimate.cpp
@@ -23,11 +23,11 @@
     const auto reportedAt = view.floors().reportedAt();
     if (m_now - reportedAt > m_halfLife * FloorLifetimeHalfLives)
         return;
-    m_youngest = std::max(m_youngest.value_or(reportedAt), reportedAt);
+    m_latestReportAt = std::max(m_latestReportAt.value_or(reportedAt), reportedAt);
     const auto floor = view.floors().pathFloor(m_key.path);
     if (floor >= ClosedLevel)
         return;
-    // A floor below the class is no floor: it must not draw the mean out of the class.
+    // Floors below the class are raised to its lowest level, so that they don't pull the mean below the class.
     const auto level = std::max(floor, makeLevel(m_key.rank, 0));
     const auto weight = weightOf(view);
     m_weights += weight;
@@ -36,7 +36,7 @@
 
 auto PathFloorEstimate::mean() const -> Level
 {
-    if (!m_youngest)
+    if (!m_latestReportAt)
         return LowestLevel;
     if (m_weights <= 0)
         return ClosedLevel;
@@ -46,33 +46,33 @@
 
 auto PathFloorEstimate::floor() const -> Level
 {
-    if (!m_youngest)
+    if (!m_latestReportAt)
         return LowestLevel;
-    return fallenFloor(mean(), m_now - *m_youngest, m_halfLife);
+    return decayedFloor(mean(), m_now - *m_latestReportAt, m_halfLife);
 }
 
 auto PathFloorEstimate::floorOf(const UpstreamView &view) const -> Level
 {
-    /// From this weight on an upstream's own report alone decides whether its path is closed.
+    /// From this weight on, only the upstream's own report decides whether its path is closed.
     static constexpr auto DecisiveWeight = 0.5;
     if (!view.floors().hasReported())
         return floor();
-    const auto ofOthers = floor();
+    const auto pooled = floor();
     const auto own = view.floors().pathFloor(m_key.path);
     const auto weight = weightOf(view);
-    if (own >= ClosedLevel || ofOthers >= ClosedLevel)
-        return weight >= DecisiveWeight ? own : ofOthers;
-    const auto bottom = makeLevel(m_key.rank, 0);
-    const auto level = weight * std::max(own, bottom).value
-                       + (1.0 - weight) * std::max(ofOthers, bottom).value;
+    if (own >= ClosedLevel || pooled >= ClosedLevel)
+        return weight >= DecisiveWeight ? own : pooled;
+    const auto lowestOfClass = makeLevel(m_key.rank, 0);
+    const auto level = weight * std::max(own, lowestOfClass).value
+                       + (1.0 - weight) * std::max(pooled, lowestOfClass).value;
     return Level{static_cast<std::uint16_t>(std::lround(level))};
 }
 
 auto PathFloorEstimate::age() const -> std::optional<Duration>
 {
-    if (!m_youngest)
+    if (!m_latestReportAt)
         return std::nullopt;
-    return std::max(Duration::zero(), m_now - *m_youngest);
+    return std::max(Duration::zero(), m_now - *m_latestReportAt);
 }
 
 } // namespace stairspur::routing
--- a/source/routing/PathFloorEstimate.h
+++ b/source/routing/PathFloorEstimate.h
@@ -6,30 +6,32 @@
 
 namespace stairspur::routing {
 
-/// The floor that calls of one class and path meet below a service, as the reports of all its upstreams tell together.
+/// Estimates the floor of the services below a service, for one class and path, from the reports of all its upstreams.
 ///
-/// What the services further down admit is the same whichever upstream a call goes through, so that each report speaks for
-/// the others too. An entry that keeps links to 16 of a hundred upstreams hears each of them every two seconds, but one of
-/// them every eighth of a second; taken one by one most views would be too old to refuse a call.
+/// The deeper services admit the same levels whichever upstream a call goes through, so each report applies to all
+/// upstreams. An entry with links to 16 of a hundred upstreams receives a report of each one every two seconds, but a
+/// report of any of them every eighth of a second; taken separately, most reports would be too old to refuse a call.
 ///
-/// Each report counts by its age. The mean is right because upstreams are called evenly: the share of calls that a service
-/// admits is the mean of the shares that its upstreams do. One whose path is closed altogether is left out
-/// while there are others, since calls go to these.
+/// Reports are weighted by age. The estimate is their mean, because calls are spread evenly over the upstreams: the share
+/// of calls that a service admits is the mean of its upstreams' shares. An upstream with a closed path is left out while
+/// there are others, since calls are sent to the others.
 class PathFloorEstimate
 {
 public:
     PathFloorEstimate(FloorKey key, TimePoint now, Duration halfLife);
 
-    /// Takes the last report of an upstream in, if there was one.
+    /// Includes the last report of an upstream, if there was one within the lifetime of a floor.
     auto include(const UpstreamView &view) -> void;
 
-    /// What the path admits by all reports; the lowest level where nobody was heard of. Falls while nobody is heard of.
+    /// Returns the floor of the path by all reports, or the lowest level without any report. It decays while no report is
+    /// received.
     [[nodiscard]] auto floor() const -> Level;
 
-    /// What a call through `view` is believed to meet: its own report, drawn towards the others' as it ages.
+    /// Returns the estimated floor for a call through `view`: its own report, which moves towards the pooled floor as it
+    /// ages.
     [[nodiscard]] auto floorOf(const UpstreamView &view) const -> Level;
 
-    /// How long ago the youngest of the reports came; nothing where none came.
+    /// Returns the age of the latest report, or nothing without any report.
     [[nodiscard]] auto age() const -> std::optional<Duration>;
 
 private:
@@ -39,8 +41,8 @@
     FloorKey m_key;
     TimePoint m_now;
     Duration m_halfLife;
-    std::optional<TimePoint> m_youngest;
-    double m_weights = 0; ///< Of the reports that leave the way open.
+    std::optional<TimePoint> m_latestReportAt;
+    double m_weights = 0; ///< Sum of the weights of reports with an open path.
     double m_weightedLevels = 0;
 };
 
--- a/source/routing/PoolState.cpp
+++ b/source/routing/PoolState.cpp
@@ -37,14 +37,14 @@
     for (auto &it : sorted) {
         if (!views.empty() && views.back().upstream().node == it.node)
             continue;
-        auto *known = find(it.node);
-        if (known == nullptr) {
+        auto *view = find(it.node);
+        if (view == nullptr) {
             views.emplace_back(std::move(it), now);
             continue;
         }
-        known->update(it, now);
-        // The view moved from keeps its place before the ones still to be found: both lists rise.
-        views.push_back(std::move(*known));
+        view->update(it, now);
+        // Both lists are sorted by node id, so later searches still find their views behind the one that is moved from.
+        views.push_back(std::move(*view));
     }
     m_views = std::move(views);
     chooseSubset();
@@ -96,8 +96,8 @@
     return result;
 }
 
-static auto chosen(const UpstreamView &view, RouteReason reason,
-                   const std::vector<std::uint32_t> &candidates) -> RouteDecision
+static auto decisionFor(const UpstreamView &view, RouteReason reason,
+                        const std::vector<std::uint32_t> &candidates) -> RouteDecision
 {
     auto decision = RouteDecision();
     decision.node = view.upstream().node;
@@ -123,25 +123,25 @@
     auto tiers = CandidateTiers(request, m_settings, now, loads, floorBelow);
     for (const auto it : m_subsetIndices)
         tiers.add(m_views[it], it);
-    // Where the path's floor is above the call, no upstream outside the subset admits it either.
-    if (!tiers.hasTimely() && floorBelow.floor() <= request.level)
+    // If the path's floor is above the call, the upstreams outside the subset don't admit the call either.
+    if (!tiers.hasTimelyInSubset() && floorBelow.floor() <= request.level)
         widen(tiers);
     if (const auto tier = tiers.best()) {
         const auto &members = tiers.members(*tier);
-        const auto index = *tier == Tier::OldFloor ? leastRecent(members)
-                                                   : pickOfTwo(members, loads, now, random);
+        const auto index = *tier == Tier::StaleFloor ? leastRecentlyUsed(members)
+                                                     : pickOfTwo(members, loads, now, random);
         const auto &view = m_views[index];
-        return chosen(view, reasonFor(*tier, view, members.size()), members);
+        return decisionFor(view, reasonFor(*tier, view, members.size()), members);
     }
     const auto &refusing = tiers.members(Tier::BelowFloor);
     if (!refusing.empty() && request.hasBegun) {
-        // What the request has cost so far is lost with this call: a floor that is a moment old is no reason to give it up.
+        // A refusal of this call would waste all work of the request so far, and the cached floor may have dropped.
         const auto &view = m_views[pickOfTwo(refusing, loads, now, random)];
-        return chosen(view, RouteReason::BegunWork, refusing);
+        return decisionFor(view, RouteReason::BegunWork, refusing);
     }
     if (!refusing.empty() && request.mayProbe && randomUnit(random) < m_settings.probeShare) {
         const auto &view = m_views[pickOne(refusing, std::nullopt, now, random)];
-        return chosen(view, RouteReason::Probe, refusing);
+        return decisionFor(view, RouteReason::Probe, refusing);
     }
     return refuse(tiers, request, random);
 }
@@ -157,7 +157,7 @@
 auto UpstreamPool::State::reasonFor(Tier tier, const UpstreamView &view,
                                     std::size_t candidates) const -> RouteReason
 {
-    if (tier == Tier::OldFloor)
+    if (tier == Tier::StaleFloor)
         return RouteReason::ImportantBypass;
     if (view.upstream().domain != m_settings.ownDomain)
         return RouteReason::Spilled;
@@ -170,16 +170,16 @@
     auto decision = RouteDecision{};
     decision.candidates = static_cast<std::uint32_t>(tiers.members(Tier::BelowFloor).size());
     if (const auto floor = tiers.lowestFloor()) {
-        // Nothing is open on the way that the call would take: no lack of room, but of a reachable upstream.
+        // A closed floor means that a service on the call's path has no reachable upstream; it doesn't mean overload.
         const auto isClosed = *floor >= ClosedLevel;
         decision.refusal = isClosed ? Reason::NoUpstream : Reason::BelowFloor;
-        decision.retryAfter = isClosed ? absenceDelay(m_settings, random)
+        decision.retryAfter = isClosed ? noUpstreamDelay(m_settings, random)
                                        : floorDelay(request.level, *floor, m_settings, random);
         return decision;
     }
-    const auto isDraining = tiers.hasDraining() && !tiers.hasOtherThanDraining();
+    const auto isDraining = tiers.hasDraining() && !tiers.hasNonDraining();
     decision.refusal = isDraining ? Reason::Draining : Reason::NoUpstream;
-    decision.retryAfter = absenceDelay(m_settings, random);
+    decision.retryAfter = noUpstreamDelay(m_settings, random);
     return decision;
 }
 
@@ -188,7 +188,7 @@
                                   Random &random) const -> std::uint32_t
 {
     const auto shareOf = [&](std::uint32_t index) {
-        const auto share = slowStartShare(m_views[index].newSince(), now, m_settings.slowStart);
+        const auto share = slowStartShare(m_views[index].slowStartAt(), now, m_settings.slowStart);
         return index == skipped ? 0.0 : share;
     };
     auto total = 0.0;
@@ -200,7 +200,7 @@
         if (point < 0)
             return it;
     }
-    // Rounding left a trifle over.
+    // Rounding errors can leave a small rest.
     return members.back() == skipped ? members.front() : members.back();
 }
 
@@ -215,7 +215,7 @@
     return loads.loadOf(m_views[second]) < loads.loadOf(m_views[first]) ? second : first;
 }
 
-auto UpstreamPool::State::leastRecent(const std::vector<std::uint32_t> &members) const
+auto UpstreamPool::State::leastRecentlyUsed(const std::vector<std::uint32_t> &members) const
         -> std::uint32_t
 {
     return *std::min_element(members.begin(), members.end(), [&](auto a, auto b) {
@@ -242,14 +242,15 @@
         return;
     view->didEnd(result, now, m_settings.reportHalfLife);
     if (result.outcome == Outcome::Answered) {
-        const auto isFirst = m_latency == Duration::zero();
-        m_latency = isFirst ? result.latency
-                            : m_latency + (result.latency - m_latency) / LatencyDivisor;
+        const auto isFirst = m_smoothedLatency == Duration::zero();
+        m_smoothedLatency =
+                isFirst ? result.latency
+                        : m_smoothedLatency + (result.latency - m_smoothedLatency) / LatencyDivisor;
     }
-    maybeEject(*view, now);
+    ejectIfOutlier(*view, now);
 }
 
-auto UpstreamPool::State::poolRate(TimePoint now) const -> double
+auto UpstreamPool::State::poolSuccessRate(TimePoint now) const -> double
 {
     auto sum = 0.0;
     auto n = 0U;
@@ -262,13 +263,13 @@
     return n == 0 ? 1.0 : sum / n;
 }
 
-auto UpstreamPool::State::maybeEject(UpstreamView &view, TimePoint now) -> void
+auto UpstreamPool::State::ejectIfOutlier(UpstreamView &view, TimePoint now) -> void
 {
-    // The pool's rate costs a pass over all upstreams: it is at most 1, which judges most attempts.
+    // The pool's rate needs a pass over all upstreams. It is at most 1, so this check alone settles most attempts.
     if (!OutlierEjection::isOutlier(view.outcomes(), 1.0, now, m_settings.ejectionBase))
         return;
     if (view.isEjected(now)
-        || !OutlierEjection::isOutlier(view.outcomes(), poolRate(now), now,
+        || !OutlierEjection::isOutlier(view.outcomes(), poolSuccessRate(now), now,
                                        m_settings.ejectionBase))
         return;
     const auto isEjected = [&](const UpstreamView &it) { return it.isEjected(now); };
@@ -277,8 +278,8 @@
     };
     const auto ejected = std::count_if(m_views.begin(), m_views.end(), isEjected);
     const auto usable = std::count_if(m_views.begin(), m_views.end(), mayTakeCalls);
-    const auto most = OutlierEjection::maxEjected(m_views.size(), m_settings.maxEjectedShare);
-    if (static_cast<std::size_t>(ejected) >= most || usable <= 1)
+    const auto maxEjected = OutlierEjection::maxEjected(m_views.size(), m_settings.maxEjectedShare);
+    if (static_cast<std::size_t>(ejected) >= maxEjected || usable <= 1)
         return;
     view.eject(now, m_settings.ejectionBase);
 }
@@ -290,24 +291,24 @@
         view->didReport(report, now, m_settings.reportHalfLife);
 }
 
-/// Upstreams that were not heard of lately count only if there are no others. They are nearly always those of other failure
-/// domains, which get calls only when the own one refuses: a floor of zero taken from their silence would hide that
-/// all of them lead to the same overloaded service.
+/// Upstreams without a recent report count only if there are no others. They are nearly always those of other failure
+/// domains, which receive calls only when the own one refuses. If a missing report counted as a floor of zero, it would
+/// hide that all of them lead to the same overloaded service.
 auto UpstreamPool::State::floorFor(FloorKey key, TimePoint now) const -> Level
 {
     const auto floorBelow = pathFloor(key, now).floor();
-    auto heard = OwnFloorEstimate(key, now, m_settings.reportHalfLife);
+    auto ownFloor = OwnFloorEstimate(key, now, m_settings.reportHalfLife);
     auto isAnyUsable = false;
     for (const auto &it : m_views) {
-        const auto isKnown = it.isInSubset() || it.reports().limit() > 0;
-        if (!isKnown || !isUsable(it, now))
+        const auto isLinkedOrReported = it.isInSubset() || it.reports().limit() > 0;
+        if (!isLinkedOrReported || !isUsable(it, now))
             continue;
         isAnyUsable = true;
-        heard.include(it);
+        ownFloor.include(it);
     }
     if (!isAnyUsable)
         return ClosedLevel;
-    return std::max(heard.floor(), floorBelow);
+    return std::max(ownFloor.floor(), floorBelow);
 }
 
 } // namespace stairspur::routing
--- a/source/routing/PoolState.h
+++ b/source/routing/PoolState.h
@@ -10,7 +10,7 @@
 
 namespace stairspur::routing {
 
-/// The views of one service's upstreams, in the order of their ids, and the choice among them.
+/// The implementation of UpstreamPool: the views of one service's upstreams, sorted by node id, and the choice among them.
 class UpstreamPool::State
 {
 public:
@@ -23,7 +23,7 @@
     auto didEnd(const AttemptResult &result, TimePoint now) -> void;
     auto didReport(const NodeId &node, const admission::LoadReport &report, TimePoint now) -> void;
     [[nodiscard]] auto floorFor(FloorKey key, TimePoint now) const -> Level;
-    [[nodiscard]] auto expectedLatency() const -> Duration { return m_latency; }
+    [[nodiscard]] auto expectedLatency() const -> Duration { return m_smoothedLatency; }
     [[nodiscard]] auto subset() const -> const std::vector<NodeId> & { return m_subset; }
 
 private:
@@ -31,26 +31,28 @@
                 Random &random) -> RouteDecision;
     [[nodiscard]] auto find(const NodeId &node) -> UpstreamView *;
     auto chooseSubset() -> void;
-    auto maybeEject(UpstreamView &view, TimePoint now) -> void;
-    [[nodiscard]] auto poolRate(TimePoint now) const -> double;
+    auto ejectIfOutlier(UpstreamView &view, TimePoint now) -> void;
+    /// Returns the mean success rate of the upstreams that are not ejected.
+    [[nodiscard]] auto poolSuccessRate(TimePoint now) const -> double;
     [[nodiscard]] auto estimate(TimePoint now) const -> LoadEstimate;
     [[nodiscard]] auto pathFloor(FloorKey key, TimePoint now) const -> PathFloorEstimate;
+    /// Returns whether the upstream is reachable, not ejected and not draining.
     [[nodiscard]] auto isUsable(const UpstreamView &view, TimePoint now) const -> bool;
 
-    /// Adds the upstreams outside the subset, before a call is refused or placed too late.
+    /// Adds the upstreams outside the subset. Used when no upstream of the subset admits the call in time.
     auto widen(CandidateTiers &tiers) const -> void;
 
-    /// One upstream at random, by its slow-start share; `skipped` is left out.
+    /// Returns a random upstream other than `skipped`, weighted by slow-start share.
     auto pickOne(const std::vector<std::uint32_t> &members, std::optional<std::uint32_t> skipped,
                  TimePoint now, Random &random) const -> std::uint32_t;
 
-    /// The less loaded of two random upstreams (Mitzenmacher, IEEE TPDS 2001).
+    /// Returns the less loaded of two random upstreams (Mitzenmacher, IEEE TPDS 2001).
     auto pickOfTwo(const std::vector<std::uint32_t> &members, const LoadEstimate &loads,
                    TimePoint now, Random &random) const -> std::uint32_t;
 
-    /// The upstream that a call of ours went to the longest ago. Calls that stop after a few tries
-    /// thus sweep the whole pool together.
-    [[nodiscard]] auto leastRecent(const std::vector<std::uint32_t> &members) const
+    /// Returns the upstream whose last call from this entry is the oldest. Calls that stop after a
+    /// few attempts thus cover the whole pool together.
+    [[nodiscard]] auto leastRecentlyUsed(const std::vector<std::uint32_t> &members) const
             -> std::uint32_t;
 
     [[nodiscard]] auto reasonFor(Tier tier, const UpstreamView &view, std::size_t candidates) const
@@ -62,8 +64,8 @@
     RoutingSettings m_settings;
     std::vector<UpstreamView> m_views;
     std::vector<NodeId> m_subset;
-    std::vector<std::uint32_t> m_subsetIndices; ///< Of m_subset in m_views.
-    Duration m_latency{0};                      ///< Smoothed over the answers.
+    std::vector<std::uint32_t> m_subsetIndices; ///< Indices of m_subset in m_views.
+    Duration m_smoothedLatency{0}; ///< Smoothed over answered calls; zero before the first.
 };
 
 } // namespace stairspur::routing
--- a/source/routing/RefusalDelay.cpp
+++ b/source/routing/RefusalDelay.cpp
@@ -5,14 +5,17 @@
 
 namespace stairspur::routing {
 
-static constexpr auto AbsenceFactor = 10.0;
-static constexpr auto LeastSpread = 0.5;
+/// Delay without any upstream, as a multiple of the base delay.
+static constexpr auto NoUpstreamFactor = 10.0;
+/// Least random factor of a delay; the greatest one is greater by 1.
+static constexpr auto MinJitter = 0.5;
 
-static auto spread(double delay, const RoutingSettings &settings, Random &random) -> Duration
+static auto jittered(double delay, const RoutingSettings &settings, Random &random) -> Duration
 {
-    const auto most = static_cast<double>(settings.retryAfterMax.count());
-    const auto spreadDelay = std::min(delay, most) * (LeastSpread + randomUnit(random));
-    return Duration{static_cast<Duration::rep>(std::clamp(spreadDelay, 1.0, std::max(1.0, most)))};
+    const auto maxDelay = static_cast<double>(settings.retryAfterMax.count());
+    const auto jitteredDelay = std::min(delay, maxDelay) * (MinJitter + randomUnit(random));
+    return Duration{
+            static_cast<Duration::rep>(std::clamp(jitteredDelay, 1.0, std::max(1.0, maxDelay)))};
 }
 
 auto floorDelay(Level level, Level floor, const RoutingSettings &settings, Random &random)
@@ -21,13 +24,13 @@
     const auto above = floor > level ? floor.value - level.value : 0;
     const auto classesAbove = static_cast<double>(above) / HashesPerClass;
     const auto base = static_cast<double>(settings.retryAfterBase.count());
-    return spread(base * std::exp2(classesAbove), settings, random);
+    return jittered(base * std::exp2(classesAbove), settings, random);
 }
 
-auto absenceDelay(const RoutingSettings &settings, Random &random) -> Duration
+auto noUpstreamDelay(const RoutingSettings &settings, Random &random) -> Duration
 {
     const auto base = static_cast<double>(settings.retryAfterBase.count());
-    return spread(base * AbsenceFactor, settings, random);
+    return jittered(base * NoUpstreamFactor, settings, random);
 }
 
 } // namespace stairspur::routing
--- a/source/routing/RefusalDelay.h
+++ b/source/routing/RefusalDelay.h
@@ -7,12 +7,14 @@
 
 namespace stairspur::routing {
 
-/// When a call of `level` should come back that met `floor`: doubles with each class that the floor stands above the
-/// call, within the settings' bounds, and is spread by half either way so that refused callers don't return as one.
+/// Returns the retry delay of a call of `level` that was refused by `floor`. The delay doubles with each class that the
+/// floor is above the call, up to the maximum of the settings, and has a random jitter of half either way, so that refused
+/// callers don't retry all at once.
 auto floorDelay(Level level, Level floor, const RoutingSettings &settings, Random &random)
         -> Duration;
 
-/// When a call should come back that found no upstream: membership needs seconds to change.
-auto absenceDelay(const RoutingSettings &settings, Random &random) -> Duration;
+/// Returns the retry delay of a call that found no upstream. It is longer than `retryAfterBase`, because membership takes
+/// seconds to change.
+auto noUpstreamDelay(const RoutingSettings &settings, Random &random) -> Duration;
 
 } // namespace stairspur::routing
--- a/source/routing/RendezvousSubset.cpp
+++ b/source/routing/RendezvousSubset.cpp
@@ -9,15 +9,16 @@
 
 namespace {
 
-struct Ranked
+/// A member and its rendezvous weight.
+struct RankedMember
 {
     std::uint64_t weight = 0;
     const SubsetMember *member = nullptr;
 };
 
-using RankedMembers = std::vector<Ranked>;
+using RankedMembers = std::vector<RankedMember>;
 
-/// One failure domain's members, the heaviest first.
+/// The members of one failure domain, by descending weight.
 struct DomainMembers
 {
     std::uint64_t weight = 0;
@@ -27,7 +28,7 @@
     [[nodiscard]] auto hasMore() const -> bool { return taken < members.size(); }
 };
 
-auto isHeavier(const Ranked &a, const Ranked &b) -> bool
+auto isHeavier(const RankedMember &a, const RankedMember &b) -> bool
 {
     return a.weight != b.weight ? a.weight > b.weight : a.member->node < b.member->node;
 }
@@ -47,22 +48,23 @@
     return domains;
 }
 
-/// Takes one member of each domain in turn until `room` is used up or nobody is left.
-auto takeInTurns(const std::vector<DomainMembers *> &domains, std::size_t room,
-                 std::vector<NodeId> &subset) -> std::size_t
+/// Takes one member of each domain in turn, until `limit` members are taken or none is left. Returns how many are missing
+/// from `limit`.
+auto takeRoundRobin(const std::vector<DomainMembers *> &domains, std::size_t limit,
+                    std::vector<NodeId> &subset) -> std::size_t
 {
     auto hasTaken = true;
-    while (room > 0 && hasTaken) {
+    while (limit > 0 && hasTaken) {
         hasTaken = false;
         for (auto *it : domains) {
-            if (room == 0 || !it->hasMore())
+            if (limit == 0 || !it->hasMore())
                 continue;
             subset.push_back(it->members[it->taken++].member->node);
-            --room;
+            --limit;
             hasTaken = true;
         }
     }
-    return room;
+    return limit;
 }
 
 } // namespace
@@ -83,10 +85,10 @@
     const auto isOwner = [&](const auto &it) { return it.node == owner.node; };
     if (std::any_of(members.begin(), members.end(), isOwner))
         subset.push_back(owner.node);
-    const auto ownRoom = std::size_t{owner.size} - owner.size / 2;
-    const auto left = takeInTurns(own, ownRoom, subset);
-    const auto room = takeInTurns(others, owner.size / 2 + left, subset);
-    takeInTurns(own, room, subset);
+    const auto ownLimit = std::size_t{owner.size} - owner.size / 2;
+    const auto missingOwn = takeRoundRobin(own, ownLimit, subset);
+    const auto missing = takeRoundRobin(others, owner.size / 2 + missingOwn, subset);
+    takeRoundRobin(own, missing, subset);
     std::sort(subset.begin(), subset.end());
     return subset;
 }
--- a/source/routing/ReportView.cpp
+++ b/source/routing/ReportView.cpp
@@ -5,26 +5,28 @@
 
 namespace stairspur::routing {
 
-/// A queue beyond this many times the limit tells nothing more, and a lying one shall not hide an upstream for long.
+/// Longest queue that counts, in multiples of the limit. A longer queue makes no difference to the choice, and the bound
+/// keeps a gate with a wrong report from being passed over for long.
 static constexpr std::uint32_t MaxQueuePerLimit = 4;
+/// Longest reported wait that counts.
 static constexpr auto MaxEstimatedWait = Duration{60'000'000};
 
-/// No gate lets more calls run at once, whatever its backend server announces.
+/// Greatest limit of any gate, regardless of the slots that its backend server announces.
 static constexpr std::uint32_t MaxLimit = 1U << 20U;
 
-/// Half-lives after which the order of sequences is no longer kept, and a reported drain no longer believed.
-static constexpr auto ForgottenAfterHalfLives = 8;
+/// Number of half-lives after which a report with a smaller sequence is accepted, and a reported drain no longer counts.
+static constexpr auto ReportLifetimeHalfLives = 8;
 
 auto ReportView::isNewer(const admission::LoadReport &report, TimePoint now,
                          Duration halfLife) const -> bool
 {
-    if (!m_isKnown || report.sequence > m_sequence)
+    if (!m_hasReport || report.sequence > m_sequence)
         return true;
-    return now - m_takenAt > halfLife * ForgottenAfterHalfLives;
+    return now - m_receivedAt > halfLife * ReportLifetimeHalfLives;
 }
 
-auto ReportView::take(const admission::LoadReport &report, std::uint32_t slots,
-                      std::uint32_t ownInFlight, TimePoint now) -> void
+auto ReportView::update(const admission::LoadReport &report, std::uint32_t slots,
+                        std::uint32_t ownInFlight, TimePoint now) -> void
 {
     m_limit = std::clamp(report.limit, 1U, std::clamp(slots, 1U, MaxLimit));
     const auto inFlight = std::min(report.inFlight, m_limit);
@@ -35,21 +37,21 @@
     m_isDraining = report.isDraining;
     m_drainingSince = now;
     m_sequence = report.sequence;
-    m_takenAt = now;
-    m_isKnown = true;
+    m_receivedAt = now;
+    m_hasReport = true;
 }
 
 auto ReportView::confidence(TimePoint now, Duration halfLife) const -> double
 {
-    if (!m_isKnown)
+    if (!m_hasReport)
         return 0.0;
-    const auto age = std::max(Duration::zero(), now - m_takenAt);
+    const auto age = std::max(Duration::zero(), now - m_receivedAt);
     return std::exp2(-static_cast<double>(age.count()) / static_cast<double>(halfLife.count()));
 }
 
 auto ReportView::isDraining(TimePoint now, Duration halfLife) const -> bool
 {
-    return m_isDraining && now - m_drainingSince <= halfLife * ForgottenAfterHalfLives;
+    return m_isDraining && now - m_drainingSince <= halfLife * ReportLifetimeHalfLives;
 }
 
 auto ReportView::didRefuseDraining(TimePoint now) -> void
--- a/source/routing/ReportView.h
+++ b/source/routing/ReportView.h
@@ -7,44 +7,48 @@
 
 namespace stairspur::routing {
 
-/// The load that one gate last reported, bounded to what can be true, and how far it is still believed.
+/// The last reported load of one gate, limited to plausible values, and the confidence in it.
 class ReportView
 {
 public:
-    /// Whether `report` is newer than the one held. One with a smaller sequence is late, unless the one held is so old
-    /// that the gate must have started anew.
+    /// Returns whether `report` is newer than the current one. A report with a smaller sequence is late, unless the current
+    /// one is so old that the gate must have restarted.
     [[nodiscard]] auto isNewer(const admission::LoadReport &report, TimePoint now,
                                Duration halfLife) const -> bool;
 
-    /// Takes a report. `slots` bounds its limit; `ownInFlight` are our own calls there, which the report includes.
-    auto take(const admission::LoadReport &report, std::uint32_t slots, std::uint32_t ownInFlight,
-              TimePoint now) -> void;
+    /// Replaces the current report. `slots` bounds its limit. `ownInFlight` is the number of this entry's own running
+    /// calls there, which the report includes.
+    auto update(const admission::LoadReport &report, std::uint32_t slots, std::uint32_t ownInFlight,
+                TimePoint now) -> void;
 
-    /// 1 for a report of this moment, half of it after each half-life, 0 without any report.
+    /// Returns the confidence in the report: 1 when it has just been received, half as much after each half-life, and 0
+    /// without any report.
     [[nodiscard]] auto confidence(TimePoint now, Duration halfLife) const -> double;
 
-    /// (in flight + queued) / limit of everybody's calls but ours, when the report came.
+    /// Returns (in flight + queued) / limit for all calls but this entry's own, at the time of the report.
     [[nodiscard]] auto othersLoad() const -> double { return m_othersLoad; }
 
-    /// Calls that the gate lets run at once; 0 before the first report.
+    /// Returns how many calls the gate lets run at once, or 0 before the first report.
     [[nodiscard]] auto limit() const -> std::uint32_t { return m_limit; }
 
+    /// Returns the wait that the gate reported, limited to 0 to 60 s.
     [[nodiscard]] auto estimatedWait() const -> Duration { return m_estimatedWait; }
 
-    /// Whether the gate reported that it drains. Believed for a bounded time, as a restarted one reports anew.
+    /// Returns whether the gate has reported that it is draining. The state lapses after 8 half-lives without a new report,
+    /// because a restarted gate reports from scratch.
     [[nodiscard]] auto isDraining(TimePoint now, Duration halfLife) const -> bool;
 
-    /// The gate refused a call because it drains.
+    /// Records that the gate refused a call because it is draining.
     auto didRefuseDraining(TimePoint now) -> void;
 
 private:
     std::uint64_t m_sequence = 0;
-    TimePoint m_takenAt{};
+    TimePoint m_receivedAt{};
     TimePoint m_drainingSince{};
     Duration m_estimatedWait{0};
     float m_othersLoad = 0;
     std::uint32_t m_limit = 0;
-    bool m_isKnown = false;
+    bool m_hasReport = false;
     bool m_isDraining = false;
 };
 
--- a/source/routing/SlowStart.h
+++ b/source/routing/SlowStart.h
@@ -6,17 +6,17 @@
 
 namespace stairspur::routing {
 
-/// Share of a new upstream at its very start: enough to warm it up and to learn how it does.
-inline constexpr auto SlowStartLeastShare = 0.1;
+/// Share of a new upstream at its start. It is enough to warm the upstream up and to observe its outcomes.
+inline constexpr auto SlowStartMinShare = 0.1;
 
-/// The share of its usual calls that an upstream gets which is new since `since`: grows evenly to 1 over `duration`.
+/// Returns the share of the usual calls for an upstream that is new since `since`. It grows linearly to 1 over `duration`.
 inline auto slowStartShare(TimePoint since, TimePoint now, Duration duration) -> double
 {
     if (duration <= Duration::zero() || now - since >= duration)
         return 1.0;
     const auto age = std::max(Duration::zero(), now - since);
     const auto progress = static_cast<double>(age.count()) / static_cast<double>(duration.count());
-    return SlowStartLeastShare + (1.0 - SlowStartLeastShare) * progress;
+    return SlowStartMinShare + (1.0 - SlowStartMinShare) * progress;
 }
 
 } // namespace stairspur::routing
--- a/source/routing/UpstreamView.cpp
+++ b/source/routing/UpstreamView.cpp
@@ -4,8 +4,8 @@
 
 namespace stairspur::routing {
 
-/// Whether the way that an attempt ended speaks against the upstream. A refusal for overload does not: it is the gate
-/// at work, and its floor and load keep calls away.
+/// Returns whether the outcome of an attempt counts as a failure of the upstream. A refusal for overload doesn't: the gate
+/// works as intended, and its floor and load already keep calls away.
 static auto isFault(const AttemptResult &result) -> bool
 {
     switch (result.reason) {
@@ -26,19 +26,19 @@
     if (upstream.incarnation < m_upstream.incarnation)
         return;
     if (upstream.incarnation > m_upstream.incarnation) {
-        startAnew(now);
-        m_backendLife = 0; // Its gate counts anew too.
+        reset(now);
+        m_backendLife = 0; // The restarted gate counts from scratch too.
     }
     m_upstream = upstream;
 }
 
-auto UpstreamView::startAnew(TimePoint now) -> void
+auto UpstreamView::reset(TimePoint now) -> void
 {
     m_reports = {};
     m_floors = {};
     m_outcomes = {};
     m_ejection = {};
-    m_newSince = now;
+    m_slowStartAt = now;
 }
 
 auto UpstreamView::didEnd(const AttemptResult &result, TimePoint now, Duration halfLife) -> void
@@ -67,7 +67,7 @@
     if (result.reason == Reason::Draining)
         m_reports.didRefuseDraining(now);
     if (result.reason == Reason::Cold)
-        m_newSince = now;
+        m_slowStartAt = now;
     if (result.reason == Reason::BelowFloor && result.level)
         m_floors.didRefuse(*result.level, now, result.path);
 }
@@ -77,19 +77,19 @@
 {
     if (!m_reports.isNewer(report, now, halfLife))
         return;
-    const auto isOfNewLife = m_backendLife > 0 && report.backendLife > m_backendLife;
-    if (isOfNewLife)
-        startAnew(now);
+    const auto isNewBackend = m_backendLife > 0 && report.backendLife > m_backendLife;
+    if (isNewBackend)
+        reset(now);
     m_backendLife = report.backendLife;
-    m_reports.take(report, m_upstream.slots, m_inFlight, now);
-    m_floors.take(report.floors, report.pathFloors, now);
+    m_reports.update(report, m_upstream.slots, m_inFlight, now);
+    m_floors.update(report.floors, report.pathFloors, now);
 }
 
 auto UpstreamView::eject(TimePoint now, Duration base) -> void
 {
     m_ejection.eject(now, base);
-    m_outcomes.forgetFailures();
-    m_newSince = m_ejection.until();
+    m_outcomes.resetFailures();
+    m_slowStartAt = m_ejection.until();
 }
 
 auto UpstreamView::isDraining(TimePoint now, Duration halfLife) const -> bool
--- a/source/routing/UpstreamView.h
+++ b/source/routing/UpstreamView.h
@@ -11,56 +11,57 @@
 
 namespace stairspur::routing {
 
-/// Everything that this entry knows of one upstream.
+/// All state that this entry records of one upstream.
 class UpstreamView
 {
 public:
     UpstreamView(Upstream upstream, TimePoint now)
         : m_upstream(std::move(upstream))
-        , m_newSince(now)
+        , m_slowStartAt(now)
     {}
 
-    /// Membership tells of the upstream again. A greater incarnation starts anew, a smaller one
-    /// is late news; calls under way stay counted.
+    /// Updates the upstream from the membership table. A greater incarnation resets the recorded
+    /// state, a smaller one is ignored as late. Running calls stay counted.
     auto update(const Upstream &upstream, TimePoint now) -> void;
 
     [[nodiscard]] auto upstream() const -> const Upstream & { return m_upstream; }
     [[nodiscard]] auto isInSubset() const -> bool { return m_isInSubset; }
     auto setInSubset(bool isInSubset) -> void { m_isInSubset = isInSubset; }
 
-    /// Whether calls can be sent there, as far as our link tells.
+    /// Returns whether calls can be sent to the upstream, by the state of this entry's link.
     [[nodiscard]] auto isReachable() const -> bool { return m_isReachable; }
     auto setReachable(bool isReachable) -> void { m_isReachable = isReachable; }
 
+    /// Records that an attempt is sent.
     auto didSend(TimePoint now) -> void
     {
         ++m_inFlight;
         m_lastSentAt = now;
     }
 
-    /// The attempt ended; takes its report first, then what the outcome itself proves.
+    /// Records the outcome of an attempt: first the report in it, then the outcome itself, which takes precedence.
     auto didEnd(const AttemptResult &result, TimePoint now, Duration halfLife) -> void;
 
-    /// Takes a report unless it is late.
+    /// Records a report, unless it is late.
     auto didReport(const admission::LoadReport &report, TimePoint now, Duration halfLife) -> void;
 
-    /// Leaves the upstream out for a while; it then starts slowly, with its failures forgotten.
+    /// Ejects the upstream for a while. It then returns by slow start, with its failures reset.
     auto eject(TimePoint now, Duration base) -> void;
 
     [[nodiscard]] auto isEjected(TimePoint now) const -> bool { return m_ejection.isEjected(now); }
     [[nodiscard]] auto isDraining(TimePoint now, Duration halfLife) const -> bool;
 
-    /// When a call of ours last went there.
+    /// Returns when this entry last sent a call to the upstream.
     [[nodiscard]] auto lastSentAt() const -> TimePoint { return m_lastSentAt; }
 
-    /// Our own calls under way.
+    /// Returns the number of this entry's own running calls.
     [[nodiscard]] auto inFlight() const -> std::uint32_t { return m_inFlight; }
 
-    /// Calls that the upstream is believed to let run at once.
+    /// Returns how many calls the upstream lets run at once: the reported limit, or its slots before the first report.
     [[nodiscard]] auto limit() const -> std::uint32_t;
 
-    /// When the upstream was last new, or came back.
-    [[nodiscard]] auto newSince() const -> TimePoint { return m_newSince; }
+    /// Returns when the slow start of the upstream last began: when it was new, reset or cold, or its ejection ended.
+    [[nodiscard]] auto slowStartAt() const -> TimePoint { return m_slowStartAt; }
 
     [[nodiscard]] auto reports() const -> const ReportView & { return m_reports; }
     [[nodiscard]] auto floors() const -> const FloorView & { return m_floors; }
@@ -69,16 +70,16 @@
 private:
     auto didRefuse(const AttemptResult &result, TimePoint now) -> void;
 
-    /// What was learnt of the backend server does not hold for the one that stands there now.
-    auto startAnew(TimePoint now) -> void;
+    /// Resets the recorded state, which doesn't apply to the backend server that runs there now.
+    auto reset(TimePoint now) -> void;
 
     Upstream m_upstream;
-    std::uint32_t m_backendLife = 0; ///< As last reported.
+    std::uint32_t m_backendLife = 0; ///< From the last report.
     ReportView m_reports;
     FloorView m_floors;
     OutcomeView m_outcomes;
     OutlierEjection m_ejection;
-    TimePoint m_newSince;
+    TimePoint m_slowStartAt;
     TimePoint m_lastSentAt{};
     std::uint32_t m_inFlight = 0;
     bool m_isInSubset = false;
--- a/tests/routing/TestFloorView.cpp
+++ b/tests/routing/TestFloorView.cpp
@@ -27,7 +27,7 @@
     };
     for (const auto &it : cases) {
         auto view = FloorView();
-        view.take(std::vector{ClosedLevel}, Start);
+        view.update(std::vector{ClosedLevel}, Start);
         cr_assert_eq(view.floorFor(0, Start + it.age, HalfLife).value, it.floor, "age %ld us",
                      it.age.count());
     }
@@ -36,7 +36,7 @@
 Test(FloorView, absurdFloorsAreBounded)
 {
     auto view = FloorView();
-    view.take(std::vector<Level>(1000, Level{65535}), Start);
+    view.update(std::vector<Level>(1000, Level{65535}), Start);
     cr_assert_eq(view.floorFor(200, Start, HalfLife), ClosedLevel);
     view.didRefuse(Level{65535}, Start);
     view.didRefuse(ClosedLevel, Start);
@@ -47,7 +47,7 @@
 {
     for (const auto &floors : {std::vector<Level>{}, std::vector{Level{7}, Level{7}, Level{7}}}) {
         auto view = FloorView();
-        view.take(floors, Start);
+        view.update(floors, Start);
         const auto before = view.floorFor(3, Start, HalfLife);
         view.didRefuse(levelOf(2), Start);
         cr_assert_eq(view.floorFor(2, Start, HalfLife).value, levelOf(2).value + 1);
@@ -59,10 +59,10 @@
 Test(FloorView, anAnswerOutranksTheFloorThatWasBelievedWhenItsCallWasSent)
 {
     auto view = FloorView();
-    view.take(std::vector{ClosedLevel}, Start);
+    view.update(std::vector{ClosedLevel}, Start);
     const auto sentAt = Start + Millisecond;
     view.didAdmit(levelOf(1), sentAt, Start + Millisecond * 2);
-    view.take(std::vector{ClosedLevel}, Start + Millisecond * 2);
+    view.update(std::vector{ClosedLevel}, Start + Millisecond * 2);
     cr_assert_leq(view.floorFor(1, Start + Millisecond * 3, HalfLife), levelOf(1));
     view.didRefuse(levelOf(1), Start + Millisecond * 4);
     cr_assert_gt(view.floorFor(1, Start + Millisecond * 5, HalfLife), levelOf(1));
@@ -71,8 +71,8 @@
 Test(FloorView, anAnswerToACallSentBeforeTheFloorRoseProvesNothing)
 {
     auto view = FloorView();
-    view.take(std::vector{LowestLevel}, Start);
-    view.take(std::vector{ClosedLevel}, Start + Millisecond * 2);
+    view.update(std::vector{LowestLevel}, Start);
+    view.update(std::vector{ClosedLevel}, Start + Millisecond * 2);
     view.didAdmit(levelOf(1), Start + Millisecond, Start + Millisecond * 3);
     cr_assert_eq(view.floorFor(1, Start + Millisecond * 3, HalfLife), ClosedLevel);
 }
@@ -82,7 +82,7 @@
     static constexpr auto Menu = PathKey{1};
     static constexpr auto Maps = PathKey{2};
     auto view = FloorView();
-    view.take({}, {{Menu, ClosedLevel}, {Maps, ClosedLevel}}, Start);
+    view.update({}, {{Menu, ClosedLevel}, {Maps, ClosedLevel}}, Start);
     const auto now = Start + Millisecond * 2;
     view.didAdmit(levelOf(1), Start + Millisecond, now, Menu);
     cr_assert_leq(view.floorFor({1, Menu}, now, HalfLife), levelOf(1));
@@ -94,7 +94,7 @@
 Test(FloorView, aRefusalOfOneClassDoesNotRefreshAnother)
 {
     auto view = FloorView();
-    view.take(std::vector{ClosedLevel}, Start);
+    view.update(std::vector{ClosedLevel}, Start);
     view.didRefuse(levelOf(3), Start + HalfLife);
     cr_assert_eq(view.age(3, Start + HalfLife), Duration::zero());
     cr_assert_eq(view.age(1, Start + HalfLife), HalfLife);
--- a/tests/routing/TestReportView.cpp
+++ b/tests/routing/TestReportView.cpp
@@ -38,7 +38,7 @@
     };
     for (const auto &it : cases) {
         auto view = ReportView();
-        view.take(it.report, it.slots, it.ownInFlight, Start);
+        view.update(it.report, it.slots, it.ownInFlight, Start);
         cr_assert_eq(view.limit(), it.limit, "%s", it.name);
         cr_assert_lt(std::abs(view.othersLoad() - it.othersLoad), 1e-6, "%s", it.name);
     }
@@ -47,9 +47,9 @@
 Test(ReportView, absurdWaitsAreBounded)
 {
     auto view = ReportView();
-    view.take({1, 10, 0, 0, Duration::max(), false, {}}, 10, 0, Start);
+    view.update({1, 10, 0, 0, Duration::max(), false, {}}, 10, 0, Start);
     cr_assert_eq(view.estimatedWait(), Duration{60'000'000});
-    view.take({2, 10, 0, 0, Duration::min(), false, {}}, 10, 0, Start);
+    view.update({2, 10, 0, 0, Duration::min(), false, {}}, 10, 0, Start);
     cr_assert_eq(view.estimatedWait(), Duration::zero());
 }
 
@@ -57,7 +57,7 @@
 {
     auto view = ReportView();
     cr_assert(view.isNewer(makeReport(1, 0), Start, HalfLife), "the first one");
-    view.take(makeReport(5, 0), 10, 0, Start);
+    view.update(makeReport(5, 0), 10, 0, Start);
     cr_assert(view.isNewer(makeReport(6, 0), Start, HalfLife));
     cr_assert(!view.isNewer(makeReport(5, 0), Start, HalfLife), "a duplicate");
     cr_assert(!view.isNewer(makeReport(4, 0), Start + HalfLife * 8, HalfLife), "a late one");
@@ -68,7 +68,7 @@
 {
     auto view = ReportView();
     cr_assert_eq(view.confidence(Start, HalfLife), 0.0, "no report");
-    view.take(makeReport(1, 0), 10, 0, Start);
+    view.update(makeReport(1, 0), 10, 0, Start);
     cr_assert_eq(view.confidence(Start, HalfLife), 1.0);
     cr_assert_eq(view.confidence(Start + HalfLife, HalfLife), 0.5);
     cr_assert_eq(view.confidence(Start + HalfLife * 3, HalfLife), 0.125);
