--- a/include/stairspur/routing/UpstreamPool.h
+++ b/include/stairspur/routing/UpstreamPool.h
@@ -126,7 +126,8 @@
     auto didEnd(const AttemptResult &result, TimePoint now, Random &random) -> void;
 
     /// Records a report that was received outside an attempt of this entry.
-    auto didReport(const NodeId &node, const admission::LoadReport &report, TimePoint now) -> void;
+    auto didReceiveReport(const NodeId &node, const admission::LoadReport &report, TimePoint now)
+            -> void;
 
     /// Returns the lowest level that a reachable upstream is expected to admit, for a class and path. Services report it
     /// to their own callers. Returns ClosedLevel when no upstream is usable.
--- a/source/routing/PoolState.cpp
+++ b/source/routing/PoolState.cpp
@@ -284,11 +284,11 @@
     view.eject(now, m_settings.ejectionBase);
 }
 
-auto UpstreamPool::State::didReport(const NodeId &node, const admission::LoadReport &report,
-                                    TimePoint now) -> void
+auto UpstreamPool::State::didReceiveReport(const NodeId &node, const admission::LoadReport &report,
+                                           TimePoint now) -> void
 {
     if (auto *view = find(node))
-        view->didReport(report, now, m_settings.reportHalfLife);
+        view->didReceiveReport(report, now, m_settings.reportHalfLife);
 }
 
 /// Upstreams without a recent report count only if there are no others. They are nearly always those of other failure
--- a/source/routing/PoolState.h
+++ b/source/routing/PoolState.h
@@ -21,7 +21,8 @@
     auto setReachable(const NodeId &node, bool isReachable) -> void;
     auto didSend(const NodeId &node, TimePoint now) -> void;
     auto didEnd(const AttemptResult &result, TimePoint now) -> void;
-    auto didReport(const NodeId &node, const admission::LoadReport &report, TimePoint now) -> void;
+    auto didReceiveReport(const NodeId &node, const admission::LoadReport &report, TimePoint now)
+            -> void;
     [[nodiscard]] auto floorFor(FloorKey key, TimePoint now) const -> Level;
     [[nodiscard]] auto expectedLatency() const -> Duration { return m_smoothedLatency; }
     [[nodiscard]] auto subset() const -> const std::vector<NodeId> & { return m_subset; }
--- a/source/routing/UpstreamPool.cpp
+++ b/source/routing/UpstreamPool.cpp
@@ -38,10 +38,10 @@
     m_state->didEnd(result, now);
 }
 
-auto UpstreamPool::didReport(const NodeId &node, const admission::LoadReport &report, TimePoint now)
-        -> void
+auto UpstreamPool::didReceiveReport(const NodeId &node, const admission::LoadReport &report,
+                                    TimePoint now) -> void
 {
-    m_state->didReport(node, report, now);
+    m_state->didReceiveReport(node, report, now);
 }
 
 auto UpstreamPool::floorFor(FloorKey key, TimePoint now) const -> Level
--- a/source/routing/UpstreamView.cpp
+++ b/source/routing/UpstreamView.cpp
@@ -46,7 +46,7 @@
     if (m_inFlight > 0)
         --m_inFlight;
     if (result.report)
-        didReport(*result.report, now, halfLife);
+        didReceiveReport(*result.report, now, halfLife);
     if (isFault(result)) {
         m_outcomes.didFail(now);
         return;
@@ -72,8 +72,8 @@
         m_floors.didRefuse(*result.level, now, result.path);
 }
 
-auto UpstreamView::didReport(const admission::LoadReport &report, TimePoint now, Duration halfLife)
-        -> void
+auto UpstreamView::didReceiveReport(const admission::LoadReport &report, TimePoint now,
+                                    Duration halfLife) -> void
 {
     if (!m_reports.isNewer(report, now, halfLife))
         return;
--- a/source/routing/UpstreamView.h
+++ b/source/routing/UpstreamView.h
@@ -43,7 +43,8 @@
     auto didEnd(const AttemptResult &result, TimePoint now, Duration halfLife) -> void;
 
     /// Records a report, unless it is late.
-    auto didReport(const admission::LoadReport &report, TimePoint now, Duration halfLife) -> void;
+    auto didReceiveReport(const admission::LoadReport &report, TimePoint now, Duration halfLife)
+            -> void;
 
     /// Ejects the upstream for a while. It then returns by slow start, with its failures reset.
     auto eject(TimePoint now, Duration base) -> void;
--- a/tests/measure/capacity/State.cpp
+++ b/tests/measure/capacity/State.cpp
@@ -140,7 +140,7 @@
     auto report = admission::LoadReport{.sequence = 1, .limit = 10};
     report.floors.resize(5);
     for (const auto &it : upstreamsOf(Count))
-        pool.didReport(it.node, report, Now);
+        pool.didReceiveReport(it.node, report, Now);
     print("memory, an upstream in UpstreamPool (5 classes)", (heapBytes() - before) / Count, "B");
 }
 
--- a/tests/measure/routing/Main.cpp
+++ b/tests/measure/routing/Main.cpp
@@ -126,8 +126,9 @@
     for (auto n = 0; n < Pools; ++n) {
         auto pool = makePool(Upstreams, "service-" + std::to_string(n));
         for (auto it = 0; it < Upstreams; ++it)
-            pool.didReport("192.0.2." + std::to_string(it) + ":7100",
-                           {1, 100, 5, 0, Duration{0}, false, std::vector<Level>(8)}, TimePoint{});
+            pool.didReceiveReport("192.0.2." + std::to_string(it) + ":7100",
+                                  {1, 100, 5, 0, Duration{0}, false, std::vector<Level>(8)},
+                                  TimePoint{});
         pools.push_back(std::move(pool));
     }
     const auto bytes = mallinfo2().uordblks - before;
--- a/tests/routing/TestFloorEstimates.cpp
+++ b/tests/routing/TestFloorEstimates.cpp
@@ -23,7 +23,7 @@
     auto view = viewOf(0);
     auto report = makeReport(1, 0, {ownFloor});
     report.pathFloors.push_back({Path, pathFloor});
-    view.didReport(report, at, HalfLife);
+    view.didReceiveReport(report, at, HalfLife);
     return view;
 }
 
--- a/tests/routing/TestLoadEstimate.cpp
+++ b/tests/routing/TestLoadEstimate.cpp
@@ -39,9 +39,9 @@
         auto other = makeView("other");
         auto view = makeView("view");
         const auto now = Start + HalfLife * it.halfLives;
-        other.didReport(makeReport(1, 5), now, HalfLife);
+        other.didReceiveReport(makeReport(1, 5), now, HalfLife);
         if (it.inFlight)
-            view.didReport(makeReport(1, *it.inFlight), Start, HalfLife);
+            view.didReceiveReport(makeReport(1, *it.inFlight), Start, HalfLife);
         for (auto n = 0U; n < it.ownSends; ++n)
             view.didSend(Start);
         auto estimate = LoadEstimate(now, HalfLife, HalfLife);
@@ -71,7 +71,7 @@
     view.didEnd(
             {"view", Outcome::Answered, Reason::None, Millisecond * 4, std::nullopt, std::nullopt},
             Start, HalfLife);
-    view.didReport({1, 10, 10, 2, Millisecond * 100, false, {}}, Start, HalfLife);
+    view.didReceiveReport({1, 10, 10, 2, Millisecond * 100, false, {}}, Start, HalfLife);
     for (const auto &[halfLives, ms] : {std::pair{0, 104}, {1, 54}, {2, 29}}) {
         const auto estimate = LoadEstimate(Start + HalfLife * halfLives, HalfLife, HalfLife);
         cr_assert_eq(estimate.expectedTime(view), Millisecond * ms);
@@ -81,7 +81,7 @@
 Test(LoadEstimate, aSmallerIncarnationIsLateNews)
 {
     auto view = makeView("view");
-    view.didReport(makeReport(1, 5), Start, HalfLife);
+    view.didReceiveReport(makeReport(1, 5), Start, HalfLife);
     view.update({"view", "elsewhere", 0, 10, true}, Start);
     cr_assert_eq(view.upstream().domain, "own");
     cr_assert(!view.isDraining(Start, HalfLife));
--- a/tests/routing/TestPlacing.cpp
+++ b/tests/routing/TestPlacing.cpp
@@ -16,7 +16,7 @@
 static auto refuseAll(PoolFixture &fixture, const std::vector<Upstream> &members) -> void
 {
     for (const auto &it : members)
-        fixture.pool.didReport(it.node, makeReport(1, 0, {ClosedLevel}), fixture.now);
+        fixture.pool.didReceiveReport(it.node, makeReport(1, 0, {ClosedLevel}), fixture.now);
 }
 
 static auto chooseFor(PoolFixture &fixture, bool hasBegun, const std::vector<NodeId> &excluded = {})
@@ -94,7 +94,7 @@
     auto report = makeReport(1, 0, {LowestLevel});
     report.pathFloors.push_back({Path, ClosedLevel});
     for (const auto &it : members)
-        fixture.pool.didReport(it.node, report, fixture.now);
+        fixture.pool.didReceiveReport(it.node, report, fixture.now);
     auto request = RouteRequest();
     request.level = levelOf(2);
     request.deadline = fixture.now + Millisecond * 1000;
--- a/tests/routing/TestRoutingProperties.cpp
+++ b/tests/routing/TestRoutingProperties.cpp
@@ -51,7 +51,8 @@
         for (auto &it : m_gates) {
             const auto floor = m_faults.isOld ? ClosedLevel : it.floor;
             if (m_faults.missing < 1.0)
-                m_fixture.pool.didReport(it.node, makeReport(10, 10, {floor}), m_fixture.now);
+                m_fixture.pool.didReceiveReport(it.node, makeReport(10, 10, {floor}),
+                                                m_fixture.now);
         }
         m_fixture.now += Millisecond * 501;
     }
--- a/tests/routing/TestUpstreamPool.cpp
+++ b/tests/routing/TestUpstreamPool.cpp
@@ -11,7 +11,7 @@
                         const admission::LoadReport &report) -> void
 {
     for (const auto &it : members)
-        fixture.pool.didReport(it.node, report, fixture.now);
+        fixture.pool.didReceiveReport(it.node, report, fixture.now);
 }
 
 static auto twoDomains() -> std::vector<Upstream>
@@ -41,7 +41,7 @@
         cr_assert_eq(fixture.choose(levelOf(0)).node, "own1");
     auto report = makeReport(1, 0);
     report.isDraining = true;
-    fixture.pool.didReport("own1", report, fixture.now);
+    fixture.pool.didReceiveReport("own1", report, fixture.now);
     const auto decision = fixture.choose(levelOf(0));
     cr_assert(!decision.node);
     cr_assert_eq(decision.refusal, Reason::Draining);
@@ -143,7 +143,7 @@
 Test(UpstreamPool, anAnsweredProbeOpensAFloorThatMisleads)
 {
     auto fixture = PoolFixture(makeUpstreams("own", 1));
-    fixture.pool.didReport("own0", makeReport(1, 0, {ClosedLevel}), fixture.now);
+    fixture.pool.didReceiveReport("own0", makeReport(1, 0, {ClosedLevel}), fixture.now);
     cr_assert(!fixture.choose(levelOf(9)).node);
     fixture.pool.didSend("own0", fixture.now);
     fixture.now += Millisecond * 2;
@@ -186,7 +186,7 @@
     const auto subset = fixture.pool.subset();
     cr_assert_eq(subset.size(), 16);
     for (const auto &it : subset)
-        fixture.pool.didReport(it, makeReport(1, 0, {ClosedLevel}), fixture.now);
+        fixture.pool.didReceiveReport(it, makeReport(1, 0, {ClosedLevel}), fixture.now);
     const auto decision = fixture.choose(levelOf(2));
     cr_assert(decision.node);
     cr_assert(std::find(subset.begin(), subset.end(), *decision.node) == subset.end());
@@ -230,7 +230,7 @@
                          makeReport(7, 10, {levelOf(3)}), levelOf(4)},
                         fixture.now, fixture.random);
     cr_assert_eq(fixture.pool.floorFor(4, fixture.now), levelOf(3));
-    fixture.pool.didReport("own0", makeReport(6, 0), fixture.now);
+    fixture.pool.didReceiveReport("own0", makeReport(6, 0), fixture.now);
     cr_assert_eq(fixture.pool.floorFor(4, fixture.now), levelOf(3));
 }
 
@@ -240,12 +240,12 @@
     members.push_back(makeUpstreams("far", 1).front());
     auto fixture = PoolFixture(members);
     cr_assert_eq(fixture.pool.floorFor(4, fixture.now), LowestLevel, "nobody was heard of");
-    fixture.pool.didReport("own0", makeReport(1, 10, {levelOf(3)}), fixture.now);
+    fixture.pool.didReceiveReport("own0", makeReport(1, 10, {levelOf(3)}), fixture.now);
     cr_assert_eq(fixture.pool.floorFor(4, fixture.now), levelOf(3));
-    fixture.pool.didReport("far0", makeReport(1, 2), fixture.now);
+    fixture.pool.didReceiveReport("far0", makeReport(1, 2), fixture.now);
     cr_assert_eq(fixture.pool.floorFor(4, fixture.now), LowestLevel, "the other one admits all");
     fixture.now += fixture.settings.reportHalfLife + Millisecond;
-    fixture.pool.didReport("own0", makeReport(2, 10, {levelOf(3)}), fixture.now);
+    fixture.pool.didReceiveReport("own0", makeReport(2, 10, {levelOf(3)}), fixture.now);
     cr_assert_eq(fixture.pool.floorFor(4, fixture.now), levelOf(3), "its word is too old");
 }
 
@@ -253,7 +253,7 @@
 {
     auto members = makeUpstreams("own", 1);
     auto fixture = PoolFixture(members);
-    fixture.pool.didReport("own0", makeReport(9, 0, {ClosedLevel}), fixture.now);
+    fixture.pool.didReceiveReport("own0", makeReport(9, 0, {ClosedLevel}), fixture.now);
     fixture.pool.setUpstreams(members, fixture.now);
     cr_assert(!fixture.choose(levelOf(9)).node, "the same incarnation keeps what was learnt");
     members[0].incarnation = 2;
@@ -285,18 +285,18 @@
     auto fixture = PoolFixture(makeUpstreams("own", 2));
     auto report = makeReport(9, 0, {ClosedLevel});
     report.backendLife = 1;
-    fixture.pool.didReport("own0", report, fixture.now);
+    fixture.pool.didReceiveReport("own0", report, fixture.now);
     for (auto n = 0; n < 6; ++n)
         fixture.attempt("own0", Outcome::Failed, Reason::BackendFailed);
     cr_assert_eq(fixture.choose(levelOf(2)).node, "own1", "floors and failures keep calls away");
     report = makeReport(10, 0);
     report.backendLife = 2;
-    fixture.pool.didReport("own0", report, fixture.now);
+    fixture.pool.didReceiveReport("own0", report, fixture.now);
     auto isChosen = false;
     for (auto n = 0; n < 200 && !isChosen; ++n)
         isChosen = fixture.choose(levelOf(2)).node == "own0";
     cr_assert(isChosen);
-    fixture.pool.didReport("own0", makeReport(8, 10, {ClosedLevel}), fixture.now);
+    fixture.pool.didReceiveReport("own0", makeReport(8, 10, {ClosedLevel}), fixture.now);
     cr_assert_eq(fixture.pool.floorFor(2, fixture.now), LowestLevel,
                  "a late report of the former life");
 }
