--- a/include/stairspur/routing/UpstreamPool.h
+++ b/include/stairspur/routing/UpstreamPool.h
@@ -55,9 +55,9 @@
     std::span<const NodeId> excluded; ///< Upstreams that have refused or failed this call.
     bool mayProbe = true; ///< Whether the call may be sent as a probe when it is below the floor.
     PathKey path = NoPath;
-    /// Whether the call belongs to a request that already runs. The entry's cached floors don't refuse such a call; the
-    /// queue of its gate decides.
-    bool hasBegun = false;
+    /// Whether a running call makes this call. The entry's cached floors don't refuse such a call; the queue of its gate
+    /// decides.
+    bool isDeeperCall = false;
 };
 
 /// Why an upstream was chosen or the call was refused.
@@ -67,8 +67,8 @@
     Spilled, ///< In another failure domain: the own one refuses the call or its wait is too long.
     Probe,   ///< The call is below the floor and checks whether the floor has dropped.
     ImportantBypass, ///< Every cached floor is above the call, but one is too old to refuse a call of its class.
-    BegunWork, ///< Every cached floor is above the call, but it belongs to a request that already runs.
-    Refused, ///< The call is refused.
+    DeeperCall, ///< Every cached floor is above the call, but a running call makes it.
+    Refused,    ///< The call is refused.
 };
 
 /// The outcome of UpstreamPool::choose().
--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -228,7 +228,7 @@
                                                   .deadline = call.deadline,
                                                   .excluded = attempts.excluded,
                                                   .path = call.request.floorPath(),
-                                                  .hasBegun = call.request.isDeeperCall},
+                                                  .isDeeperCall = call.request.isDeeperCall},
                                                  now, m_random);
         logDecision(call, decision, attempts);
         if (m_protocol && !decision.node && wasShed(attempts) && !attempts.excluded.empty()) {
--- a/source/routing/PoolState.cpp
+++ b/source/routing/PoolState.cpp
@@ -134,10 +134,10 @@
         return decisionFor(view, reasonFor(*tier, view, members.size()), members);
     }
     const auto &refusing = tiers.members(Tier::BelowFloor);
-    if (!refusing.empty() && request.hasBegun) {
+    if (!refusing.empty() && request.isDeeperCall) {
         // A refusal of this call would waste all work of the request so far, and the cached floor may have dropped.
         const auto &view = m_views[pickOfTwo(refusing, loads, now, random)];
-        return decisionFor(view, RouteReason::BegunWork, refusing);
+        return decisionFor(view, RouteReason::DeeperCall, refusing);
     }
     if (!refusing.empty() && request.mayProbe && randomUnit(random) < m_settings.probeShare) {
         const auto &view = m_views[pickOne(refusing, std::nullopt, now, random)];
--- a/tests/measure/overload/Entry.h
+++ b/tests/measure/overload/Entry.h
@@ -125,7 +125,7 @@
                                                    .excluded = call->excluded,
                                                    .mayProbe = m_settings.isRoot,
                                                    .path = call->root->path,
-                                                   .hasBegun = isDeeperCall(*call->root)};
+                                                   .isDeeperCall = isDeeperCall(*call->root)};
         const auto decision = m_pool.choose(request, now, m_random);
         if (!decision.node) {
             finish(call, {Outcome::NotRun, decision.refusal, decision.retryAfter, 0});
--- a/tests/routing/TestPlacing.cpp
+++ b/tests/routing/TestPlacing.cpp
@@ -19,15 +19,15 @@
         fixture.pool.didReceiveReport(it.node, makeReport(1, 0, {ClosedLevel}), fixture.now);
 }
 
-static auto chooseFor(PoolFixture &fixture, bool hasBegun, const std::vector<NodeId> &excluded = {})
-        -> RouteDecision
+static auto chooseFor(PoolFixture &fixture, bool isDeeperCall,
+                      const std::vector<NodeId> &excluded = {}) -> RouteDecision
 {
     auto request = RouteRequest();
     request.level = levelOf(2);
     request.deadline = fixture.now + Millisecond * 1000;
     request.excluded = excluded;
     request.mayProbe = false;
-    request.hasBegun = hasBegun;
+    request.isDeeperCall = isDeeperCall;
     return fixture.pool.choose(request, fixture.now, fixture.random);
 }
 
@@ -39,7 +39,7 @@
     cr_assert(!chooseFor(fixture, false).node);
     const auto decision = chooseFor(fixture, true);
     cr_assert(decision.node);
-    cr_assert_eq(decision.choice, RouteReason::BegunWork);
+    cr_assert_eq(decision.choice, RouteReason::DeeperCall);
 }
 
 Test(Placing, begunWorkIsNotSentTwiceToWhoRefusedIt)
