--- a/tests/routing/TestPlacing.cpp
+++ b/tests/routing/TestUpstreamChoice.cpp
@@ -31,7 +31,7 @@
     return fixture.pool.choose(request, fixture.now, fixture.random);
 }
 
-Test(Placing, floorsRefuseOnlyRequestsThatHaveNotBegun)
+Test(UpstreamChoice, floorsRefuseOnlyRequestsThatHaveNotBegun)
 {
     const auto members = threeUpstreams();
     auto fixture = PoolFixture(members);
@@ -42,7 +42,7 @@
     cr_assert_eq(decision.choice, RouteReason::DeeperCall);
 }
 
-Test(Placing, begunWorkIsNotSentTwiceToWhoRefusedIt)
+Test(UpstreamChoice, begunWorkIsNotSentTwiceToWhoRefusedIt)
 {
     const auto members = threeUpstreams();
     auto fixture = PoolFixture(members);
@@ -56,7 +56,7 @@
     cr_assert(!chooseFor(fixture, true, excluded).node);
 }
 
-Test(Placing, whatCannotBeReachedIsNoCandidate)
+Test(UpstreamChoice, whatCannotBeReachedIsNoCandidate)
 {
     auto fixture = PoolFixture(threeUpstreams());
     fixture.pool.setReachable("own0", false);
@@ -68,7 +68,7 @@
     cr_assert_eq(chooseFor(fixture, false).node, "own0");
 }
 
-Test(Placing, aServiceThatCannotBeReachedAdmitsNothing)
+Test(UpstreamChoice, aServiceThatCannotBeReachedAdmitsNothing)
 {
     // A failure domain is cut off: membership holds the hosts beyond for alive, some seconds longer than their links.
     const auto members = threeUpstreams();
@@ -85,7 +85,7 @@
     cr_assert_eq(fixture.pool.floorFor(2, fixture.now), LowestLevel);
 }
 
-Test(Placing, aWayThatIsClosedFurtherOnIsNoLackOfRoom)
+Test(UpstreamChoice, aWayThatIsClosedFurtherOnIsNoLackOfRoom)
 {
     // The upstreams tell that a service which this path needs has nobody to reach.
     static constexpr auto Path = PathKey{11};
