--- a/tests/routing/PoolFixture.h
+++ b/tests/routing/PoolFixture.h
@@ -5,13 +5,13 @@
 
 #include <stairspur/routing/UpstreamPool.h>
 
-/// A pool with made-up upstreams and a clock that tests move.
+/// A fixture with a pool of generated upstreams and a clock that the tests set.
 namespace stairspur::routing {
 
 inline constexpr auto Millisecond = Duration{1'000};
 inline constexpr auto Start = TimePoint{Duration{1'000'000'000}};
 
-/// Level in the middle of a class.
+/// Returns the level in the middle of a class.
 inline auto levelOf(ClassRank rank) -> Level
 {
     return makeLevel(rank, HashesPerClass / 2);
@@ -58,7 +58,7 @@
         return pool.choose({level, now + Millisecond * 1000, excluded, mayProbe}, now, random);
     }
 
-    /// One attempt that begins and ends at this moment.
+    /// Records an attempt that starts and ends at the current time.
     auto attempt(const NodeId &node, Outcome outcome, Reason reason = Reason::None,
                  std::optional<Level> level = std::nullopt) -> void
     {
--- a/tests/routing/TestFloorEstimates.cpp
+++ b/tests/routing/TestFloorEstimates.cpp
@@ -17,8 +17,8 @@
     return {makeUpstreams("own", index + 1).back(), Start};
 }
 
-/// A view whose upstream told, at `at`, a floor for the path and one for its own load.
-static auto told(Level pathFloor, Level ownFloor, TimePoint at) -> UpstreamView
+/// Returns a view whose upstream reported, at `at`, a floor for the path and one for its own load.
+static auto viewWithReport(Level pathFloor, Level ownFloor, TimePoint at) -> UpstreamView
 {
     auto view = viewOf(0);
     auto report = makeReport(1, 0, {ownFloor});
@@ -35,55 +35,58 @@
     return estimate;
 }
 
-Test(PathFloorEstimate, oneReportSpeaksForAllUpstreams)
+Test(PathFloorEstimate, oneReportAppliesToAllUpstreams)
 {
-    const auto view = told(levelOf(3), LowestLevel, Start);
+    const auto view = viewWithReport(levelOf(3), LowestLevel, Start);
     const auto estimate = estimateOf({view, viewOf(1), viewOf(2)}, Start);
     cr_assert_eq(estimate.floor(), levelOf(3));
     cr_assert_eq(estimate.floorOf(viewOf(1)), levelOf(3));
     cr_assert_eq(estimate.age(), Duration::zero());
 }
 
-Test(PathFloorEstimate, nobodyHeardOfIsNoFloor)
+Test(PathFloorEstimate, noReportMeansNoFloor)
 {
     const auto estimate = estimateOf({viewOf(0)}, Start);
     cr_assert_eq(estimate.floor(), LowestLevel);
     cr_assert(!estimate.age());
-    const auto lapsed = estimateOf({told(ClosedLevel, LowestLevel, Start)}, Start + HalfLife * 9);
-    cr_assert_eq(lapsed.floor(), LowestLevel);
+    const auto expired =
+            estimateOf({viewWithReport(ClosedLevel, LowestLevel, Start)}, Start + HalfLife * 9);
+    cr_assert_eq(expired.floor(), LowestLevel);
 }
 
-Test(PathFloorEstimate, youngerReportsCountMore)
+Test(PathFloorEstimate, newerReportsHaveMoreWeight)
 {
     const auto now = Start + Millisecond * 300;
-    const auto estimate = estimateOf(
-            {told(LowestLevel, LowestLevel, Start), told(levelOf(3), LowestLevel, now)}, now);
+    const auto estimate = estimateOf({viewWithReport(LowestLevel, LowestLevel, Start),
+                                      viewWithReport(levelOf(3), LowestLevel, now)},
+                                     now);
     cr_assert_gt(estimate.floor().value, levelOf(3).value - 10);
     cr_assert_lt(estimate.floor(), levelOf(3));
-    // The old report of one is drawn towards the others'.
-    cr_assert_gt(estimate.floorOf(told(LowestLevel, LowestLevel, Start)).value,
+    // The estimate for an upstream with an old report moves towards the other reports.
+    cr_assert_gt(estimate.floorOf(viewWithReport(LowestLevel, LowestLevel, Start)).value,
                  levelOf(3).value - 20);
-    cr_assert_eq(estimate.floorOf(told(makeLevel(3, 0), LowestLevel, now)), makeLevel(3, 0),
-                 "its report of this moment counts alone");
+    cr_assert_eq(estimate.floorOf(viewWithReport(makeLevel(3, 0), LowestLevel, now)),
+                 makeLevel(3, 0), "only its own report counts, because it is current");
 }
 
 Test(PathFloorEstimate, aClosedPathCountsOnlyWhereNoneIsOpen)
 {
-    const auto closed = told(ClosedLevel, LowestLevel, Start);
+    const auto closed = viewWithReport(ClosedLevel, LowestLevel, Start);
     cr_assert_eq(estimateOf({closed, closed}, Start).floor(), ClosedLevel);
-    const auto estimate = estimateOf({closed, told(levelOf(3), LowestLevel, Start)}, Start);
+    const auto estimate =
+            estimateOf({closed, viewWithReport(levelOf(3), LowestLevel, Start)}, Start);
     cr_assert_eq(estimate.floor(), levelOf(3));
     cr_assert_eq(estimate.floorOf(closed), ClosedLevel);
 }
 
-Test(PathFloorEstimate, floorsFallWhileNobodyIsHeardOf)
+Test(PathFloorEstimate, floorsDecayWithoutReports)
 {
-    const auto view = told(levelOf(3), LowestLevel, Start);
+    const auto view = viewWithReport(levelOf(3), LowestLevel, Start);
     cr_assert_eq(estimateOf({view}, Start + HalfLife).floor(), levelOf(3));
     cr_assert_lt(estimateOf({view}, Start + HalfLife * 2).floor(), makeLevel(3, 0));
 }
 
-Test(OwnFloorEstimate, theLowerQuartileOfFreshReportsCounts)
+Test(OwnFloorEstimate, usesTheLowerQuartileOfRecentReports)
 {
     struct
     {
@@ -99,9 +102,9 @@
     for (const auto &it : cases) {
         auto estimate = OwnFloorEstimate(Key, Start, HalfLife);
         for (const auto floor : it.floors)
-            estimate.include(told(LowestLevel, floor, Start));
-        estimate.include(
-                told(LowestLevel, LowestLevel, Start - HalfLife - Millisecond)); // Too old.
+            estimate.include(viewWithReport(LowestLevel, floor, Start));
+        estimate.include(viewWithReport(LowestLevel, LowestLevel,
+                                        Start - HalfLife - Millisecond)); // Too old.
         cr_expect_eq(estimate.floor(), it.floor, "%zu reports: %u", it.floors.size(),
                      static_cast<unsigned>(estimate.floor().value));
     }
--- a/tests/routing/TestFloorView.cpp
+++ b/tests/routing/TestFloorView.cpp
@@ -9,7 +9,7 @@
 
 static constexpr auto HalfLife = Duration{500'000};
 
-Test(FloorView, unrefreshedFloorsFallAndAreGoneInBoundedTime)
+Test(FloorView, unrefreshedFloorsDecayAndExpire)
 {
     struct
     {
@@ -33,7 +33,7 @@
     }
 }
 
-Test(FloorView, absurdFloorsAreBounded)
+Test(FloorView, implausibleFloorsAreBounded)
 {
     auto view = FloorView();
     view.update(std::vector<Level>(1000, Level{65535}), Start);
@@ -56,7 +56,7 @@
     }
 }
 
-Test(FloorView, anAnswerOutranksTheFloorThatWasBelievedWhenItsCallWasSent)
+Test(FloorView, anAnswerOverridesTheFloorRecordedWhenItsCallWasSent)
 {
     auto view = FloorView();
     view.update(std::vector{ClosedLevel}, Start);
--- a/tests/routing/TestLoadEstimate.cpp
+++ b/tests/routing/TestLoadEstimate.cpp
@@ -15,16 +15,16 @@
     return {Upstream{node, "own", 1, 10, false}, Start};
 }
 
-Test(LoadEstimate, oldReportsAreDrawnToThePoolsMean)
+Test(LoadEstimate, oldReportsMoveTowardsThePoolsMean)
 {
-    // The other upstream's report is always fresh and tells of 5 of 10.
+    // The report of the other upstream is always current, with 5 of 10 calls in flight.
     struct
     {
         const char *name;
         std::optional<std::uint32_t> inFlight;
         int halfLives;
         std::uint32_t ownSends;
-        double load; // With the call to be placed, which weighs 0.1.
+        double load; // Includes 0.1 for the call to be sent.
     } cases[] = {
             {"fresh and idle", 0, 0, 0, 0.1},
             {"fresh and busy", 10, 0, 0, 1.1},
@@ -52,7 +52,7 @@
     }
 }
 
-Test(LoadEstimate, nothingKnownCountsOwnCallsOnly)
+Test(LoadEstimate, onlyOwnCallsCountWithoutReports)
 {
     auto view = makeView("view");
     view.didSend(Start);
@@ -62,7 +62,7 @@
     cr_assert_eq(estimate.expectedTime(view), Duration::zero());
 }
 
-Test(LoadEstimate, expectedTimeIsTheAgedWaitAndTheLeastLatency)
+Test(LoadEstimate, expectedTimeIsTheAgedWaitPlusTheMinLatency)
 {
     auto view = makeView("view");
     view.didEnd(
@@ -78,7 +78,7 @@
     }
 }
 
-Test(LoadEstimate, aSmallerIncarnationIsLateNews)
+Test(LoadEstimate, aSmallerIncarnationIsIgnored)
 {
     auto view = makeView("view");
     view.didReceiveReport(makeReport(1, 5), Start, HalfLife);
--- a/tests/routing/TestOutlierEjection.cpp
+++ b/tests/routing/TestOutlierEjection.cpp
@@ -14,14 +14,14 @@
     {
         std::size_t upstreams;
         double share;
-        std::size_t most;
+        std::size_t maxEjected;
     } cases[] = {{0, 1.0, 0},  {1, 1.0, 0},  {2, 0.34, 0},  {2, 1.0, 1},   {3, 0.34, 1},
                  {5, 0.34, 1}, {6, 0.34, 2}, {10, 0.34, 3}, {10, -1.0, 0}, {10, 7.0, 9}};
     for (const auto &it : cases)
-        cr_assert_eq(OutlierEjection::maxEjected(it.upstreams, it.share), it.most);
+        cr_assert_eq(OutlierEjection::maxEjected(it.upstreams, it.share), it.maxEjected);
 }
 
-Test(OutlierEjection, itsTimeDoublesUpToABoundAndStartsAgainAfterGoodBehaviour)
+Test(OutlierEjection, itsLengthDoublesUpToABoundAndIsResetAfterALongTimeWithoutEjection)
 {
     auto ejection = OutlierEjection();
     const auto base = Duration{1'000'000};
@@ -36,8 +36,9 @@
     cr_assert_eq(ejection.until() - now, base);
 }
 
-/// Upstreams that 200 choices do not go to.
-static auto leftOut(PoolFixture &fixture, const std::vector<Upstream> &members) -> std::set<NodeId>
+/// Returns the upstreams that none of 200 choices selects.
+static auto neverChosen(PoolFixture &fixture, const std::vector<Upstream> &members)
+        -> std::set<NodeId>
 {
     auto nodes = std::set<NodeId>();
     for (const auto &it : members)
@@ -71,14 +72,14 @@
         auto fixture = PoolFixture(members);
         for (auto n = 0; n < 5; ++n)
             fixture.attempt("own2", it.outcome, it.reason);
-        const auto isEjected = leftOut(fixture, members).contains("own2");
+        const auto isEjected = neverChosen(fixture, members).contains("own2");
         cr_assert_eq(isEjected, it.isEjected, "%s", nameOf(it.reason).data());
         fixture.now += fixture.settings.ejectionBase * 40;
-        cr_assert(leftOut(fixture, members).empty(), "it comes back");
+        cr_assert(neverChosen(fixture, members).empty(), "it is chosen again after the ejection");
     }
 }
 
-Test(OutlierEjection, allFailingLeavesTheBoundedShareOut)
+Test(OutlierEjection, atMostTheMaxShareIsEjectedWhenAllFail)
 {
     for (const auto n : {1U, 2U, 3U, 6U, 12U}) {
         const auto members = makeUpstreams("own", n);
@@ -87,8 +88,8 @@
             for (const auto &it : members)
                 fixture.attempt(it.node, Outcome::Unknown, Reason::LinkLost);
         }
-        const auto out = leftOut(fixture, members);
-        cr_assert_eq(out.size(), OutlierEjection::maxEjected(n, 0.34), "pool of %u", n);
+        const auto ejected = neverChosen(fixture, members);
+        cr_assert_eq(ejected.size(), OutlierEjection::maxEjected(n, 0.34), "pool of %u", n);
     }
 }
 
@@ -98,7 +99,7 @@
     for (auto n = 0; n < 10; ++n) {
         fixture.attempt("own0", Outcome::NotRun, Reason::LinkLost);
         fixture.attempt("own1", Outcome::Answered);
-        fixture.pool.didSend("own1", fixture.now); // Keeps the good one busier.
+        fixture.pool.didSend("own1", fixture.now); // Keeps the upstream without failures busier.
     }
     for (auto n = 0; n < 100; ++n)
         cr_assert_eq(fixture.choose(levelOf(1)).node, "own1");
--- a/tests/routing/TestRendezvousSubset.cpp
+++ b/tests/routing/TestRendezvousSubset.cpp
@@ -33,7 +33,7 @@
     return counts;
 }
 
-Test(RendezvousSubset, halfStandsInTheOwnDomainAndTheRestIsSpread)
+Test(RendezvousSubset, halfIsInTheOwnDomainAndTheRestIsSpread)
 {
     struct
     {
@@ -51,7 +51,7 @@
         cr_assert(countByDomain(rendezvousSubset(ownedBy("x"), it.members)) == it.counts);
 }
 
-Test(RendezvousSubset, theOwnerIsAlwaysInIt)
+Test(RendezvousSubset, theOwnerIsAlwaysAMember)
 {
     const auto members = makeMembers({{"a", 200}, {"b", 200}});
     for (const auto size : {0U, 1U, 16U}) {
@@ -61,7 +61,7 @@
     }
 }
 
-Test(RendezvousSubset, oneMembersChangeMovesAtMostOneInEachDomain)
+Test(RendezvousSubset, removingAMemberReplacesAtMostOneMember)
 {
     const auto all = makeMembers({{"a", 60}, {"b", 60}, {"c", 60}});
     const auto before = rendezvousSubset(ownedBy("x"), all);
@@ -76,7 +76,8 @@
         cr_assert_leq(fresh.size(), 1, "without %s", all[index].node.c_str());
         moved += fresh.size();
     }
-    cr_assert_eq(moved, before.size(), "only members of the subset leave a gap");
+    cr_assert_eq(moved, before.size(),
+                 "only the removal of a member of the subset adds another one");
 }
 
 Test(RendezvousSubset, entriesSpreadOverThePool)
--- a/tests/routing/TestReportView.cpp
+++ b/tests/routing/TestReportView.cpp
@@ -11,7 +11,7 @@
 
 static constexpr auto HalfLife = Duration{500'000};
 
-Test(ReportView, lyingReportsAreBounded)
+Test(ReportView, implausibleReportsAreBounded)
 {
     struct
     {
@@ -22,9 +22,9 @@
         std::uint32_t limit;
         double othersLoad;
     } cases[] = {
-            {"truthful", {1, 10, 5, 2, {}, false, {}}, 10, 0, 10, 0.7},
-            {"our own calls are not others'", {1, 10, 5, 2, {}, false, {}}, 10, 4, 10, 0.3},
-            {"fewer in flight than we sent", {1, 10, 1, 0, {}, false, {}}, 10, 4, 10, 0.0},
+            {"plausible", {1, 10, 5, 2, {}, false, {}}, 10, 0, 10, 0.7},
+            {"own calls are subtracted", {1, 10, 5, 2, {}, false, {}}, 10, 4, 10, 0.3},
+            {"fewer in flight than this entry sent", {1, 10, 1, 0, {}, false, {}}, 10, 4, 10, 0.0},
             {"limit 0", {1, 0, 5, 0, {}, false, {}}, 10, 0, 1, 1.0},
             {"limit above the slots", {1, 4'000'000'000U, 10, 0, {}, false, {}}, 10, 0, 10, 1.0},
             {"in flight above the limit",
@@ -33,7 +33,12 @@
              0,
              10,
              1.0},
-            {"endless queue", {1, 10, 0, 4'000'000'000U, {}, false, {}}, 10, 0, 10, 4.0},
+            {"queue far above the limit",
+             {1, 10, 0, 4'000'000'000U, {}, false, {}},
+             10,
+             0,
+             10,
+             4.0},
             {"no slots", {1, 10, 0, 0, {}, false, {}}, 0, 0, 1, 0.0},
     };
     for (const auto &it : cases) {
@@ -44,7 +49,7 @@
     }
 }
 
-Test(ReportView, absurdWaitsAreBounded)
+Test(ReportView, implausibleWaitsAreBounded)
 {
     auto view = ReportView();
     view.update({1, 10, 0, 0, Duration::max(), false, {}}, 10, 0, Start);
@@ -53,7 +58,7 @@
     cr_assert_eq(view.estimatedWait(), Duration::zero());
 }
 
-Test(ReportView, orderIsKeptUntilTheHeldReportIsForgotten)
+Test(ReportView, orderIsKeptUntilTheCurrentReportExpires)
 {
     auto view = ReportView();
     cr_assert(view.isNewer(makeReport(1, 0), Start, HalfLife), "the first one");
@@ -72,5 +77,5 @@
     cr_assert_eq(view.confidence(Start, HalfLife), 1.0);
     cr_assert_eq(view.confidence(Start + HalfLife, HalfLife), 0.5);
     cr_assert_eq(view.confidence(Start + HalfLife * 3, HalfLife), 0.125);
-    cr_assert_eq(view.confidence(Start - HalfLife, HalfLife), 1.0, "a clock handed in late");
+    cr_assert_eq(view.confidence(Start - HalfLife, HalfLife), 1.0, "a time before the report");
 }
--- a/tests/routing/TestRoutingProperties.cpp
+++ b/tests/routing/TestRoutingProperties.cpp
@@ -9,7 +9,7 @@
 using namespace stairspur;
 using namespace stairspur::routing;
 
-/// A gate as it really is, beside what it tells.
+/// The true state of a gate, which its reports may not match.
 struct FakeGate
 {
     NodeId node;
@@ -18,14 +18,14 @@
     std::uint64_t sequence = 0;
 };
 
-/// How reports go wrong, by chance for each answer.
+/// The probability of each kind of faulty report, drawn for each answer.
 struct ReportFaults
 {
     const char *name;
     double missing = 0;
-    double reordered = 0; ///< Bears an old sequence and an absurd floor.
-    double lying = 0;     ///< Absurd load and floors, with a good sequence.
-    bool isOld = false;   ///< Views were learnt long ago, when every floor was closed.
+    double reordered = 0; ///< Reports with an old sequence and an implausible floor.
+    double wrong = 0;     ///< Reports with an implausible load and floors, and a valid sequence.
+    bool isOld = false;   ///< All reports are old, from a time when every floor was closed.
 };
 
 static const ReportFaults reportFaults[] = {
@@ -38,6 +38,7 @@
         {"all at once", 0.3, 0.3, 0.3, true},
 };
 
+/// A pool with simulated gates, whose reports have the given faults.
 class RoutingRun
 {
 public:
@@ -57,17 +58,17 @@
         m_fixture.now += Millisecond * 501;
     }
 
-    /// Sends one call until it is answered or refused. Whether it was answered. A fresh floor that is a lie holds for
-    /// maxFloorAge() of the call's class at the most, so where gates lie the call comes after that time.
+    /// Sends one call until it is answered or refused, and returns whether it was answered. A wrong floor refuses calls for
+    /// at most maxFloorAge() of the call's class, so with wrong reports the call is sent after that time.
     auto call(Level level) -> bool
     {
-        if (m_faults.lying > 0)
+        if (m_faults.wrong > 0)
             m_fixture.now +=
                     maxFloorAge(level.rank(), m_fixture.settings.reportHalfLife) + Duration{1};
         auto excluded = std::vector<NodeId>();
         while (const auto node = m_fixture.choose(level, excluded, false).node) {
             cr_assert(std::find(excluded.begin(), excluded.end(), *node) == excluded.end(),
-                      "%s was asked twice", node->c_str());
+                      "the call was sent to %s twice", node->c_str());
             if (attempt(gateOf(*node), level))
                 return true;
             excluded.push_back(*node);
@@ -75,7 +76,7 @@
         return false;
     }
 
-    /// Whether some reachable upstream admits a level below `level`.
+    /// Returns whether some reachable upstream admits a level below `level`.
     [[nodiscard]] auto isLowerAdmitted(Level level) const -> bool
     {
         return std::any_of(m_gates.begin(), m_gates.end(),
@@ -133,7 +134,7 @@
             return std::nullopt;
         if (randomUnit(m_random) < m_faults.reordered)
             return makeReport(1, 10, {Level{65535}});
-        if (randomUnit(m_random) < m_faults.lying)
+        if (randomUnit(m_random) < m_faults.wrong)
             return admission::LoadReport{++gate.sequence, 0,     4'000'000'000U, 4'000'000'000U,
                                          Duration::max(), false, {Level{65535}}};
         return makeReport(++gate.sequence, 5, {gate.floor});
@@ -164,7 +165,7 @@
             }
         }
     }
-    cr_assert_gt(refusals, 0, "some pools refuse all, so that refusals were seen too");
+    cr_assert_gt(refusals, 0, "the seeds include pools that refuse calls");
 }
 
 Test(RoutingProperties, tenThousandChoicesSpreadEvenly)
--- a/tests/routing/TestUpstreamChoice.cpp
+++ b/tests/routing/TestUpstreamChoice.cpp
@@ -5,7 +5,7 @@
 using namespace stairspur;
 using namespace stairspur::routing;
 
-/// A pool of two upstreams in the own failure domain and one elsewhere.
+/// Returns two upstreams in the own failure domain and one in another.
 static auto threeUpstreams() -> std::vector<Upstream>
 {
     auto members = makeUpstreams("own", 2);
@@ -31,7 +31,7 @@
     return fixture.pool.choose(request, fixture.now, fixture.random);
 }
 
-Test(UpstreamChoice, floorsRefuseOnlyRequestsThatHaveNotBegun)
+Test(UpstreamChoice, floorsDoNotRefuseDeeperCalls)
 {
     const auto members = threeUpstreams();
     auto fixture = PoolFixture(members);
@@ -42,7 +42,7 @@
     cr_assert_eq(decision.choice, RouteReason::DeeperCall);
 }
 
-Test(UpstreamChoice, begunWorkIsNotSentTwiceToWhoRefusedIt)
+Test(UpstreamChoice, deeperCallsAreNotSentToAnUpstreamThatRefusedThem)
 {
     const auto members = threeUpstreams();
     auto fixture = PoolFixture(members);
@@ -56,7 +56,7 @@
     cr_assert(!chooseFor(fixture, true, excluded).node);
 }
 
-Test(UpstreamChoice, whatCannotBeReachedIsNoCandidate)
+Test(UpstreamChoice, unreachableUpstreamsAreNoCandidates)
 {
     auto fixture = PoolFixture(threeUpstreams());
     fixture.pool.setReachable("own0", false);
@@ -68,9 +68,9 @@
     cr_assert_eq(chooseFor(fixture, false).node, "own0");
 }
 
-Test(UpstreamChoice, aServiceThatCannotBeReachedAdmitsNothing)
+Test(UpstreamChoice, anUnreachableServiceHasAClosedFloor)
 {
-    // A failure domain is cut off: membership holds the hosts beyond for alive, some seconds longer than their links.
+    // A failure domain is cut off: its hosts stay alive in the membership table for some seconds after their links are lost.
     const auto members = threeUpstreams();
     auto fixture = PoolFixture(members);
     cr_assert_eq(fixture.pool.floorFor(2, fixture.now), LowestLevel);
@@ -85,9 +85,9 @@
     cr_assert_eq(fixture.pool.floorFor(2, fixture.now), LowestLevel);
 }
 
-Test(UpstreamChoice, aWayThatIsClosedFurtherOnIsNoLackOfRoom)
+Test(UpstreamChoice, aClosedPathIsRefusedAsNoUpstream)
 {
-    // The upstreams tell that a service which this path needs has nobody to reach.
+    // The upstreams report that a service that the path needs has no reachable upstream.
     static constexpr auto Path = PathKey{11};
     const auto members = threeUpstreams();
     auto fixture = PoolFixture(members);
--- a/tests/routing/TestUpstreamPool.cpp
+++ b/tests/routing/TestUpstreamPool.cpp
@@ -32,7 +32,7 @@
     cr_assert_eq(fixture.pool.floorFor(0, fixture.now), ClosedLevel);
 }
 
-Test(UpstreamPool, drainingUpstreamsGetNothingNew)
+Test(UpstreamPool, drainingUpstreamsGetNoCalls)
 {
     auto members = makeUpstreams("own", 2);
     members[0].isDraining = true;
@@ -48,7 +48,7 @@
     cr_assert_gt(decision.retryAfter, Duration::zero());
 }
 
-Test(UpstreamPool, aDrainingRefusalIsBelievedAtOnceAndForABoundedTime)
+Test(UpstreamPool, aDrainingRefusalAppliesAtOnceAndForABoundedTime)
 {
     auto fixture = PoolFixture(makeUpstreams("own", 1));
     fixture.attempt("own0", Outcome::NotRun, Reason::Draining);
@@ -57,7 +57,7 @@
     cr_assert(fixture.choose(levelOf(0)).node);
 }
 
-Test(UpstreamPool, theOwnDomainComesFirstAndFloorOrWaitSpill)
+Test(UpstreamPool, theOwnDomainComesFirstAndAFloorOrAWaitSpillsOver)
 {
     const auto members = twoDomains();
     struct
@@ -95,7 +95,7 @@
     const auto members = makeUpstreams("own", 3);
     auto fixture = PoolFixture(members);
     reportToAll(fixture, members, {1, 10, 10, 9, Millisecond * 5000, false, {}});
-    cr_assert(fixture.choose(levelOf(0)).node, "only the gate may refuse for its wait");
+    cr_assert(fixture.choose(levelOf(0)).node, "only the gate may refuse because of its wait");
 }
 
 Test(UpstreamPool, freshFloorsRefuseAndTheDelayGrowsWithTheFloor)
@@ -106,19 +106,19 @@
         auto fixture = PoolFixture(members);
         reportToAll(fixture, members, makeReport(1, 0, {makeLevel(rank, 127)}));
         auto sum = Duration::zero();
-        auto least = Duration::max();
-        auto most = Duration::zero();
+        auto minDelay = Duration::max();
+        auto maxDelay = Duration::zero();
         for (auto n = 0; n < 200; ++n) {
             const auto decision = fixture.choose(levelOf(5));
             cr_assert(!decision.node);
             cr_assert_eq(decision.refusal, Reason::BelowFloor);
             cr_assert_eq(decision.candidates, 3);
             sum += decision.retryAfter;
-            least = std::min(least, decision.retryAfter);
-            most = std::max(most, decision.retryAfter);
+            minDelay = std::min(minDelay, decision.retryAfter);
+            maxDelay = std::max(maxDelay, decision.retryAfter);
         }
-        cr_assert_leq(most, fixture.settings.retryAfterMax);
-        cr_assert_gt(most, least * 2, "jittered");
+        cr_assert_leq(maxDelay, fixture.settings.retryAfterMax);
+        cr_assert_gt(maxDelay, minDelay * 2, "jittered");
         cr_assert_gt(sum, before * 2, "floor in class %d", rank);
         before = sum;
     }
@@ -140,7 +140,7 @@
     cr_assert_lt(probes, 200);
 }
 
-Test(UpstreamPool, anAnsweredProbeOpensAFloorThatMisleads)
+Test(UpstreamPool, anAnsweredProbeOverridesAWrongFloor)
 {
     auto fixture = PoolFixture(makeUpstreams("own", 1));
     fixture.pool.didReceiveReport("own0", makeReport(1, 0, {ClosedLevel}), fixture.now);
@@ -155,7 +155,7 @@
     cr_assert(!fixture.choose(levelOf(9)).node);
 }
 
-Test(UpstreamPool, importantCallsPassFloorsThatAreOld)
+Test(UpstreamPool, importantCallsIgnoreOldFloors)
 {
     struct
     {
@@ -179,7 +179,7 @@
     }
 }
 
-Test(UpstreamPool, wholeSubsetRefusingWidensToTheRest)
+Test(UpstreamPool, theOtherUpstreamsAreUsedWhenTheWholeSubsetRefuses)
 {
     const auto members = makeUpstreams("own", 40);
     auto fixture = PoolFixture(members);
@@ -192,8 +192,8 @@
     cr_assert(std::find(subset.begin(), subset.end(), *decision.node) == subset.end());
 }
 
-/// How many calls it takes until one of 40 upstreams is found that alone admits them, with eight
-/// tries for each call and views that are old again at the next one.
+/// Returns how many calls are needed to find the only one of 40 upstreams that admits them. Each call
+/// has eight attempts, and all floors are old again at the next call.
 static auto callsUntilAnswered(std::uint64_t seed) -> int
 {
     const auto members = makeUpstreams("own", 40);
@@ -215,14 +215,14 @@
     return 100;
 }
 
-Test(UpstreamPool, boundedTriesSweepTheWholePool)
+Test(UpstreamPool, callsWithFewAttemptsCoverTheWholePool)
 {
     for (auto seed = 1U; seed <= 50; ++seed)
         cr_assert_leq(callsUntilAnswered(seed), 5, "seed %u: %d calls", seed,
                       callsUntilAnswered(seed));
 }
 
-Test(UpstreamPool, refusalsTakeTheirReportAtOnceAndLateOnesAreIgnored)
+Test(UpstreamPool, reportsOfRefusalsAreUsedAndLateReportsAreIgnored)
 {
     auto fixture = PoolFixture(makeUpstreams("own", 1));
     fixture.pool.didSend("own0", fixture.now);
@@ -234,37 +234,39 @@
     cr_assert_eq(fixture.pool.floorFor(4, fixture.now), levelOf(3));
 }
 
-Test(UpstreamPool, anUpstreamThatWasNotHeardOfDoesNotHideTheFloorOfTheOthers)
+Test(UpstreamPool, anUpstreamWithoutReportDoesNotHideTheFloorOfTheOthers)
 {
     auto members = makeUpstreams("own", 1);
     members.push_back(makeUpstreams("far", 1).front());
     auto fixture = PoolFixture(members);
-    cr_assert_eq(fixture.pool.floorFor(4, fixture.now), LowestLevel, "nobody was heard of");
+    cr_assert_eq(fixture.pool.floorFor(4, fixture.now), LowestLevel, "no report was received");
     fixture.pool.didReceiveReport("own0", makeReport(1, 10, {levelOf(3)}), fixture.now);
     cr_assert_eq(fixture.pool.floorFor(4, fixture.now), levelOf(3));
     fixture.pool.didReceiveReport("far0", makeReport(1, 2), fixture.now);
-    cr_assert_eq(fixture.pool.floorFor(4, fixture.now), LowestLevel, "the other one admits all");
+    cr_assert_eq(fixture.pool.floorFor(4, fixture.now), LowestLevel,
+                 "the other upstream admits all");
     fixture.now += fixture.settings.reportHalfLife + Millisecond;
     fixture.pool.didReceiveReport("own0", makeReport(2, 10, {levelOf(3)}), fixture.now);
-    cr_assert_eq(fixture.pool.floorFor(4, fixture.now), levelOf(3), "its word is too old");
+    cr_assert_eq(fixture.pool.floorFor(4, fixture.now), levelOf(3),
+                 "the report of the other upstream is too old");
 }
 
-Test(UpstreamPool, aGreaterIncarnationStartsAnew)
+Test(UpstreamPool, aGreaterIncarnationResetsTheState)
 {
     auto members = makeUpstreams("own", 1);
     auto fixture = PoolFixture(members);
     fixture.pool.didReceiveReport("own0", makeReport(9, 0, {ClosedLevel}), fixture.now);
     fixture.pool.setUpstreams(members, fixture.now);
-    cr_assert(!fixture.choose(levelOf(9)).node, "the same incarnation keeps what was learnt");
+    cr_assert(!fixture.choose(levelOf(9)).node, "the same incarnation keeps the recorded state");
     members[0].incarnation = 2;
     fixture.pool.setUpstreams(members, fixture.now);
     cr_assert(fixture.choose(levelOf(9)).node);
 }
 
-Test(UpstreamPool, aNewUpstreamComesSlowlyToItsShare)
+Test(UpstreamPool, aNewUpstreamReachesItsShareSlowly)
 {
     auto members = makeUpstreams("own", 4);
-    for (const auto &[age, least, most] :
+    for (const auto &[age, minShare, maxShare] :
          {std::tuple{0, 0.02, 0.06}, {2'500'000, 0.11, 0.19}, {5'000'000, 0.21, 0.29}}) {
         auto fixture = PoolFixture({members.begin(), members.begin() + 3});
         fixture.now += Millisecond * 60'000;
@@ -274,21 +276,23 @@
         constexpr auto Choices = 10'000;
         for (auto n = 0; n < Choices; ++n)
             picks += fixture.choose(levelOf(1)).node == "own3" ? 1 : 0;
-        cr_assert_gt(picks, least * Choices, "%d of %d at %d us", picks, Choices, age);
-        cr_assert_lt(picks, most * Choices, "%d of %d at %d us", picks, Choices, age);
+        cr_assert_gt(picks, minShare * Choices, "%d of %d at %d us", picks, Choices, age);
+        cr_assert_lt(picks, maxShare * Choices, "%d of %d at %d us", picks, Choices, age);
     }
 }
 
-Test(UpstreamPool, aNewLifeOfTheBackendServerStartsAnew)
+Test(UpstreamPool, aNewBackendIncarnationResetsTheState)
 {
-    // The gate stays and its reports go on in order: only the life tells that another server stands behind it.
+    // The gate keeps running and its reports stay in order; only the incarnation shows that another backend server is
+    // behind it.
     auto fixture = PoolFixture(makeUpstreams("own", 2));
     auto report = makeReport(9, 0, {ClosedLevel});
     report.backendLife = 1;
     fixture.pool.didReceiveReport("own0", report, fixture.now);
     for (auto n = 0; n < 6; ++n)
         fixture.attempt("own0", Outcome::Failed, Reason::BackendFailed);
-    cr_assert_eq(fixture.choose(levelOf(2)).node, "own1", "floors and failures keep calls away");
+    cr_assert_eq(fixture.choose(levelOf(2)).node, "own1",
+                 "floors and failures keep calls away from own0");
     report = makeReport(10, 0);
     report.backendLife = 2;
     fixture.pool.didReceiveReport("own0", report, fixture.now);
@@ -298,5 +302,5 @@
     cr_assert(isChosen);
     fixture.pool.didReceiveReport("own0", makeReport(8, 10, {ClosedLevel}), fixture.now);
     cr_assert_eq(fixture.pool.floorFor(2, fixture.now), LowestLevel,
-                 "a late report of the former life");
+                 "a late report from the previous incarnation");
 }
