--- a/include/stairspur/routing/UpstreamPool.h
+++ b/include/stairspur/routing/UpstreamPool.h
@@ -16,7 +16,7 @@
 
 /// The entry's choice of an upstream for each call, from the load and the floors that the gates report.
 /// The module has no clock and no random source of its own: its callers pass both. Times are in microseconds.
-/// Errors are returned as a Reason; nothing is thrown.
+/// A refusal is returned with its Reason.
 namespace stairspur::routing {
 
 /// One upstream, as the membership table describes it.
@@ -25,7 +25,7 @@
     NodeId node;
     std::string domain;
     Incarnation incarnation = 0;
-    std::uint32_t slots = 1; ///< Greatest number of calls that run at once.
+    std::uint32_t slots = 1; ///< Maximum number of calls that run at once.
     bool isDraining = false;
 };
 
@@ -76,7 +76,7 @@
 {
     std::optional<NodeId> node; ///< The chosen upstream; empty when the call is refused.
     RouteReason choice = RouteReason::Refused;
-    Reason refusal = Reason::None; ///< BelowFloor, NoUpstream or Draining when refused.
+    Reason refusal = Reason::None; ///< BelowFloor, NoUpstream or Draining if the call is refused.
     Duration retryAfter{0};        ///< Delay after which a refused call may be retried.
     std::uint32_t candidates = 0;  ///< Number of upstreams among which the choice was made.
     Level pathFloor; ///< Estimated floor of the services below this one, on the request's path.
@@ -122,7 +122,7 @@
     /// Records that an attempt is sent to `node`.
     auto didSend(const NodeId &node, TimePoint now) -> void;
 
-    /// Records the outcome of an attempt. Each call matches one call of didSend().
+    /// Records the outcome of an attempt. Each didEnd() matches one didSend().
     auto didEnd(const AttemptResult &result, TimePoint now, Random &random) -> void;
 
     /// Records a report that was received outside an attempt of this entry.
--- a/source/routing/LoadEstimate.h
+++ b/source/routing/LoadEstimate.h
@@ -22,8 +22,8 @@
     /// are counted exactly. The sum is divided by the success rate, so that an upstream that fails fast doesn't look idle.
     [[nodiscard]] auto loadOf(const UpstreamView &view) const -> double;
 
-    /// Returns the least expected duration of a call that is sent now: the reported wait, reduced by the report's age,
-    /// plus the least latency, which covers service time and network distance.
+    /// Returns the minimum expected duration of a call that is sent now: the reported wait, reduced by the report's age,
+    /// plus the minimum latency, which covers service time and network distance.
     [[nodiscard]] auto expectedTime(const UpstreamView &view) const -> Duration;
 
 private:
--- a/source/routing/OutcomeView.cpp
+++ b/source/routing/OutcomeView.cpp
@@ -13,7 +13,7 @@
 static constexpr std::uint32_t ConsecutiveFailuresThreshold = 3;
 static constexpr auto ConsecutiveFailureWeight = 0.5F;
 
-/// Divisor for the share by which the least latency may rise with each answer. The rise lets the value follow an upstream
+/// Divisor for the share by which the minimum latency may rise with each answer. The rise lets the value follow an upstream
 /// that has moved further away.
 static constexpr auto LatencyRiseDivisor = 64;
 
--- a/source/routing/OutcomeView.h
+++ b/source/routing/OutcomeView.h
@@ -29,11 +29,11 @@
     /// Returns the number of attempts that ended since the start or the last resetFailures().
     [[nodiscard]] auto attempts() const -> std::uint32_t { return m_attempts; }
 
-    /// Returns the least latency of an answer, network distance included, or zero before the first answer. It rises slowly
-    /// and falls at once.
+    /// Returns the minimum latency of an answer, network distance included, or zero before the first answer. It rises
+    /// slowly and falls at once.
     [[nodiscard]] auto minLatency() const -> Duration { return m_minLatency; }
 
-    /// Resets the success rate and the failure count after an ejection; the least latency is kept.
+    /// Resets the success rate and the failure count after an ejection; the minimum latency is kept.
     auto resetFailures() -> void;
 
 private:
--- a/source/routing/OutlierEjection.cpp
+++ b/source/routing/OutlierEjection.cpp
@@ -5,8 +5,11 @@
 
 namespace stairspur::routing {
 
+/// Number of consecutive failures from which on an upstream is an outlier.
 static constexpr std::uint32_t ConsecutiveFailuresToEject = 5;
+/// Number of attempts from which on the success rate of an upstream is compared with the pool's.
 static constexpr std::uint32_t MinAttemptsForRate = 20;
+/// Difference by which the success rate of an outlier is below the pool's.
 static constexpr auto RateGapToEject = 0.3;
 
 /// The length of ejections doubles up to base x 2^5.
--- a/source/routing/PoolState.cpp
+++ b/source/routing/PoolState.cpp
@@ -43,7 +43,8 @@
             continue;
         }
         view->update(it, now);
-        // Both lists are sorted by node id, so later searches still find their views behind the one that is moved from.
+        // Both lists are sorted by node id. A view that is moved from thus precedes the ones still to be found, and the
+        // binary search stays valid.
         views.push_back(std::move(*view));
     }
     m_views = std::move(views);
@@ -200,7 +201,7 @@
         if (point < 0)
             return it;
     }
-    // Rounding errors can leave a small rest.
+    // Rounding errors can leave a small remainder.
     return members.back() == skipped ? members.front() : members.back();
 }
 
--- a/source/routing/RefusalDelay.cpp
+++ b/source/routing/RefusalDelay.cpp
@@ -7,7 +7,7 @@
 
 /// Delay without any upstream, as a multiple of the base delay.
 static constexpr auto NoUpstreamFactor = 10.0;
-/// Least random factor of a delay; the greatest one is greater by 1.
+/// Minimum random factor of a delay. The maximum is greater by 1.
 static constexpr auto MinJitter = 0.5;
 
 static auto jittered(double delay, const RoutingSettings &settings, Random &random) -> Duration
--- a/source/routing/RefusalDelay.h
+++ b/source/routing/RefusalDelay.h
@@ -8,7 +8,7 @@
 namespace stairspur::routing {
 
 /// Returns the retry delay of a call of `level` that was refused by `floor`. The delay doubles with each class that the
-/// floor is above the call, up to the maximum of the settings, and has a random jitter of half either way, so that refused
+/// floor is above the call, up to the maximum of the settings, and has a random jitter of plus or minus one half, so that refused
 /// callers don't retry all at once.
 auto floorDelay(Level level, Level floor, const RoutingSettings &settings, Random &random)
         -> Duration;
--- a/tests/routing/TestReportView.cpp
+++ b/tests/routing/TestReportView.cpp
@@ -22,7 +22,7 @@
         std::uint32_t limit;
         double othersLoad;
     } cases[] = {
-            {"plausible", {1, 10, 5, 2, {}, false, {}}, 10, 0, 10, 0.7},
+            {"truthful", {1, 10, 5, 2, {}, false, {}}, 10, 0, 10, 0.7},
             {"own calls are subtracted", {1, 10, 5, 2, {}, false, {}}, 10, 4, 10, 0.3},
             {"fewer in flight than this entry sent", {1, 10, 1, 0, {}, false, {}}, 10, 4, 10, 0.0},
             {"limit 0", {1, 0, 5, 0, {}, false, {}}, 10, 0, 1, 1.0},
