--- a/source/routing/FloorView.h
+++ b/source/routing/FloorView.h
@@ -86,8 +86,7 @@
 
     std::vector<Level> m_floors; ///< By class rank, from the last report.
     std::vector<PathFloor> m_pathFloors;
-    std::vector<Refusal>
-            m_refusals; ///< Since the last report, at most one for each class and path.
+    std::vector<Refusal> m_refusals; ///< Since the last report, one per class and path.
     bool m_hasReported = false;
     TimePoint m_reportedAt{};
     TimePoint m_lastRiseAt{}; ///< Time of the last increase of a floor.
--- a/tests/routing/TestLoadEstimate.cpp
+++ b/tests/routing/TestLoadEstimate.cpp
@@ -32,7 +32,7 @@
             {"very old and idle", 0, 30, 0, 0.6},
             {"very old and busy", 10, 30, 0, 0.6},
             {"missing", std::nullopt, 0, 0, 0.6},
-            {"our own calls are added", 0, 0, 3, 0.4},
+            {"own calls are added", 0, 0, 3, 0.4},
             {"however old the report", 0, 30, 3, 0.9},
     };
     for (const auto &it : cases) {
--- a/tests/routing/TestOutlierEjection.cpp
+++ b/tests/routing/TestOutlierEjection.cpp
@@ -79,7 +79,7 @@
     }
 }
 
-Test(OutlierEjection, atMostTheMaxShareIsEjectedWhenAllFail)
+Test(OutlierEjection, theMaxShareIsEjectedWhenAllFail)
 {
     for (const auto n : {1U, 2U, 3U, 6U, 12U}) {
         const auto members = makeUpstreams("own", n);
