--- a/tests/routing/TestReportView.cpp
+++ b/tests/routing/TestReportView.cpp
@@ -11,7 +11,7 @@
 
 static constexpr auto HalfLife = Duration{500'000};
 
-Test(ReportView, lyingReportsAreBounded)
+Test(ReportView, implausibleReportsAreBounded)
 {
     struct
     {
@@ -23,8 +23,8 @@
         double othersLoad;
     } cases[] = {
             {"truthful", {1, 10, 5, 2, {}, false, {}}, 10, 0, 10, 0.7},
-            {"our own calls are not others'", {1, 10, 5, 2, {}, false, {}}, 10, 4, 10, 0.3},
-            {"fewer in flight than we sent", {1, 10, 1, 0, {}, false, {}}, 10, 4, 10, 0.0},
+            {"own calls are subtracted", {1, 10, 5, 2, {}, false, {}}, 10, 4, 10, 0.3},
+            {"fewer in flight than this entry sent", {1, 10, 1, 0, {}, false, {}}, 10, 4, 10, 0.0},
             {"limit 0", {1, 0, 5, 0, {}, false, {}}, 10, 0, 1, 1.0},
             {"limit above the slots", {1, 4'000'000'000U, 10, 0, {}, false, {}}, 10, 0, 10, 1.0},
             {"in flight above the limit",
@@ -33,31 +33,36 @@
              0,
              10,
              1.0},
-            {"endless queue", {1, 10, 0, 4'000'000'000U, {}, false, {}}, 10, 0, 10, 4.0},
+            {"queue far above the limit",
+             {1, 10, 0, 4'000'000'000U, {}, false, {}},
+             10,
+             0,
+             10,
+             4.0},
             {"no slots", {1, 10, 0, 0, {}, false, {}}, 0, 0, 1, 0.0},
     };
     for (const auto &it : cases) {
         auto view = ReportView();
-        view.take(it.report, it.slots, it.ownInFlight, Start);
+        view.update(it.report, it.slots, it.ownInFlight, Start);
         cr_assert_eq(view.limit(), it.limit, "%s", it.name);
         cr_assert_lt(std::abs(view.othersLoad() - it.othersLoad), 1e-6, "%s", it.name);
     }
 }
 
-Test(ReportView, absurdWaitsAreBounded)
+Test(ReportView, implausibleWaitsAreBounded)
 {
     auto view = ReportView();
-    view.take({1, 10, 0, 0, Duration::max(), false, {}}, 10, 0, Start);
+    view.update({1, 10, 0, 0, Duration::max(), false, {}}, 10, 0, Start);
     cr_assert_eq(view.estimatedWait(), Duration{60'000'000});
-    view.take({2, 10, 0, 0, Duration::min(), false, {}}, 10, 0, Start);
+    view.update({2, 10, 0, 0, Duration::min(), false, {}}, 10, 0, Start);
     cr_assert_eq(view.estimatedWait(), Duration::zero());
 }
 
-Test(ReportView, orderIsKeptUntilTheHeldReportIsForgotten)
+Test(ReportView, orderIsKeptUntilTheCurrentReportExpires)
 {
     auto view = ReportView();
     cr_assert(view.isNewer(makeReport(1, 0), Start, HalfLife), "the first one");
-    view.take(makeReport(5, 0), 10, 0, Start);
+    view.update(makeReport(5, 0), 10, 0, Start);
     cr_assert(view.isNewer(makeReport(6, 0), Start, HalfLife));
     cr_assert(!view.isNewer(makeReport(5, 0), Start, HalfLife), "a duplicate");
     cr_assert(!view.isNewer(makeReport(4, 0), Start + HalfLife * 8, HalfLife), "a late one");
@@ -68,9 +73,9 @@
 {
     auto view = ReportView();
     cr_assert_eq(view.confidence(Start, HalfLife), 0.0, "no report");
-    view.take(makeReport(1, 0), 10, 0, Start);
+    view.update(makeReport(1, 0), 10, 0, Start);
     cr_assert_eq(view.confidence(Start, HalfLife), 1.0);
     cr_assert_eq(view.confidence(Start + HalfLife, HalfLife), 0.5);
     cr_assert_eq(view.confidence(Start + HalfLife * 3, HalfLife), 0.125);
-    cr_assert_eq(view.confidence(Start - HalfLife, HalfLife), 1.0, "a clock handed in late");
+    cr_assert_eq(view.confidence(Start - HalfLife, HalfLife), 1.0, "a time before the report");
 }
--- a/tests/routing/TestPlacing.cpp
+++ b/tests/routing/TestUpstreamChoice.cpp
@@ -5,7 +5,7 @@
 using namespace stairspur;
 using namespace stairspur::routing;
 
-/// A pool of two upstreams in the own failure domain and one elsewhere.
+/// Returns two upstreams in the own failure domain and one in another.
 static auto threeUpstreams() -> std::vector<Upstream>
 {
     auto members = makeUpstreams("own", 2);
@@ -16,22 +16,22 @@
 static auto refuseAll(PoolFixture &fixture, const std::vector<Upstream> &members) -> void
 {
     for (const auto &it : members)
-        fixture.pool.didReport(it.node, makeReport(1, 0, {ClosedLevel}), fixture.now);
+        fixture.pool.didReceiveReport(it.node, makeReport(1, 0, {ClosedLevel}), fixture.now);
 }
 
-static auto chooseFor(PoolFixture &fixture, bool hasBegun, const std::vector<NodeId> &excluded = {})
-        -> RouteDecision
+static auto chooseFor(PoolFixture &fixture, bool isDeeperCall,
+                      const std::vector<NodeId> &excluded = {}) -> RouteDecision
 {
     auto request = RouteRequest();
     request.level = levelOf(2);
     request.deadline = fixture.now + Millisecond * 1000;
     request.excluded = excluded;
     request.mayProbe = false;
-    request.hasBegun = hasBegun;
+    request.isDeeperCall = isDeeperCall;
     return fixture.pool.choose(request, fixture.now, fixture.random);
 }
 
-Test(Placing, floorsRefuseOnlyRequestsThatHaveNotBegun)
+Test(UpstreamChoice, floorsDoNotRefuseDeeperCalls)
 {
     const auto members = threeUpstreams();
     auto fixture = PoolFixture(members);
@@ -39,10 +39,10 @@
     cr_assert(!chooseFor(fixture, false).node);
     const auto decision = chooseFor(fixture, true);
     cr_assert(decision.node);
-    cr_assert_eq(decision.choice, RouteReason::BegunWork);
+    cr_assert_eq(decision.choice, RouteReason::DeeperCall);
 }
 
-Test(Placing, begunWorkIsNotSentTwiceToWhoRefusedIt)
+Test(UpstreamChoice, deeperCallsAreNotSentToAnUpstreamThatRefusedThem)
 {
     const auto members = threeUpstreams();
     auto fixture = PoolFixture(members);
@@ -56,7 +56,7 @@
     cr_assert(!chooseFor(fixture, true, excluded).node);
 }
 
-Test(Placing, whatCannotBeReachedIsNoCandidate)
+Test(UpstreamChoice, unreachableUpstreamsAreNoCandidates)
 {
     auto fixture = PoolFixture(threeUpstreams());
     fixture.pool.setReachable("own0", false);
@@ -68,9 +68,9 @@
     cr_assert_eq(chooseFor(fixture, false).node, "own0");
 }
 
-Test(Placing, aServiceThatCannotBeReachedAdmitsNothing)
+Test(UpstreamChoice, anUnreachableServiceHasAClosedFloor)
 {
-    // A failure domain is cut off: membership holds the hosts beyond for alive, some seconds longer than their links.
+    // A failure domain is cut off: its hosts stay alive in the membership table for some seconds after their links are lost.
     const auto members = threeUpstreams();
     auto fixture = PoolFixture(members);
     cr_assert_eq(fixture.pool.floorFor(2, fixture.now), LowestLevel);
@@ -85,16 +85,16 @@
     cr_assert_eq(fixture.pool.floorFor(2, fixture.now), LowestLevel);
 }
 
-Test(Placing, aWayThatIsClosedFurtherOnIsNoLackOfRoom)
+Test(UpstreamChoice, aClosedPathIsRefusedAsNoUpstream)
 {
-    // The upstreams tell that a service which this path needs has nobody to reach.
+    // The upstreams report that a service that the path needs has no reachable upstream.
     static constexpr auto Path = PathKey{11};
     const auto members = threeUpstreams();
     auto fixture = PoolFixture(members);
     auto report = makeReport(1, 0, {LowestLevel});
     report.pathFloors.push_back({Path, ClosedLevel});
     for (const auto &it : members)
-        fixture.pool.didReport(it.node, report, fixture.now);
+        fixture.pool.didReceiveReport(it.node, report, fixture.now);
     auto request = RouteRequest();
     request.level = levelOf(2);
     request.deadline = fixture.now + Millisecond * 1000;
