--- a/include/stairspur/retry/CallBudget.h
+++ b/include/stairspur/retry/CallBudget.h
@@ -4,47 +4,51 @@
 
 namespace stairspur::retry {
 
-/// What one attempt carries in its request.
+/// The retry state that the request of one attempt carries.
 struct AttemptBudget
 {
-    std::uint32_t retryBudget = 0; ///< Extra attempts for everything below the attempt.
+    std::uint32_t retryBudget = 0; ///< Extra attempts for all calls below the attempt.
     bool isRepeat = false;         ///< An earlier attempt, here or above, may have run.
 };
 
-/// The extra attempts of one call at the entry that places it.
+/// The extra attempts of one call, kept by the entry that sends the call.
 ///
-/// What went with an attempt comes back with its answer only. So a service that calls no others
-/// gets nothing, and its call can be sent again after a lost answer; one that calls others gets
-/// all, since to run it again would cost its deeper calls as well (docs/design/retries.md has the
-/// ways that were measured).
+/// The part of the budget that an attempt carries returns with the answer only. For this reason an attempt at a service
+/// that calls no others carries nothing: its call can be sent again after a lost answer. An attempt at a service that
+/// calls others carries the whole budget, since running it again would repeat its deeper calls as well
+/// (docs/design/retries.md compares the alternatives).
 class CallBudget
 {
 public:
-    /// `share` from RetryLedger::takeShare(), or the whole budget of a root request. `isRepeat`
-    /// from RetryLedger::isRepeat() of the parent.
+    /// Creates the budget of one call.
+    ///
+    /// `share`: the result of RetryLedger::takeShare(), or the whole budget of a root request. `isRepeat`: the result of
+    /// RetryLedger::isRepeat() for the parent.
     CallBudget(std::uint32_t share, bool isRepeat)
         : m_left(share)
         , m_isRepeat(isRepeat)
     {}
 
-    /// An attempt goes out. One attempt is under way at a time. `hasDeeperCalls`: whether the
-    /// service that is called calls others, as far as the configured call paths tell.
+    /// Returns the budget that the next attempt carries. Only one attempt is in flight at a time.
+    ///
+    /// `hasDeeperCalls`: whether the called service calls others according to the configured call paths.
     auto startAttempt(bool hasDeeperCalls) -> AttemptBudget;
 
-    /// The attempt's answer came and returns `unspent`. A claim of more than went with it is false
-    /// and returns nothing. Not called when the answer is lost.
+    /// Adds the extra attempts that the attempt's answer returns as `unspent`. An answer that claims more than the attempt
+    /// carried is invalid and returns nothing. Must not be called when the answer is lost.
     auto didAnswer(std::uint32_t unspent) -> void;
 
-    /// Pays for the next attempt after one that may have been dispatched. False when nothing is
-    /// left.
+    /// Spends one extra attempt to send the call again after an attempt that may have been dispatched. Returns false if no
+    /// extra attempts remain.
     auto trySpend() -> bool;
 
-    /// What is left: for decideRetry(), and for RetryLedger::giveBack() once the call has ended.
+    /// Returns the remaining extra attempts: an input of decideRetry(), and of RetryLedger::giveBack() once the call has
+    /// ended.
     [[nodiscard]] auto left() const -> std::uint32_t { return m_left; }
 
 private:
     std::uint32_t m_left;
-    std::uint32_t m_sent = 0; ///< Went with the attempt under way.
+    std::uint32_t m_sent = 0; ///< Carried by the attempt in flight.
     bool m_isRepeat;
 };
 
--- a/include/stairspur/retry/RetryDemand.h
+++ b/include/stairspur/retry/RetryDemand.h
@@ -8,29 +8,32 @@
 
 namespace stairspur::retry {
 
-/// Who wants retries, by precedence, and from which precedence on they can be had.
+/// Measures the demand for retries by precedence and computes the lowest precedence that may retry.
 ///
-/// When retries are short, those that the lowest take are lost for the highest a moment later, and most of them are spent on
-/// requests that fail all the same. So they are kept for the precedences whose wants can all be met.
+/// While retries are scarce, each one used at a low precedence is missing at a high precedence a moment later, and most
+/// of those used at low precedences are spent on requests that fail anyway. Retries are therefore reserved for the
+/// precedences whose demand can be met in full.
 class RetryDemand
 {
 public:
-    /// A call of this precedence wants a retry, whether it gets one or not.
+    /// Records that a call of this precedence needs a retry, whether or not it gets one.
     auto didWant(Level precedence) -> void;
 
-    /// Judges anew, `elapsed` after the last time: `tokens` are there, and `tokensPerSecond` come.
+    /// Updates the floor from the demand recorded since the last update, `elapsed` ago.
+    ///
+    /// `tokens`: tokens available now. `tokensPerSecond`: the rate at which tokens are added.
     auto didPassTime(Duration elapsed, double tokens, double tokensPerSecond) -> void;
 
-    /// The lowest precedence that may have a retry.
+    /// Returns the lowest precedence that may retry.
     [[nodiscard]] auto floor() const -> Level { return m_floor; }
 
 private:
     static constexpr auto LevelCount = std::size_t{ClosedLevel.value};
 
-    std::array<float, LevelCount> m_wants{};     ///< Since the last judgement.
-    std::array<float, LevelCount> m_perSecond{}; ///< Smoothed.
+    std::array<float, LevelCount> m_recentDemand{};    ///< Retries needed since the last update.
+    std::array<float, LevelCount> m_demandPerSecond{}; ///< Smoothed rate of the demand.
     Level m_floor = LowestLevel;
-    /// Nobody has wanted anything for so long that nothing is left to smooth.
+    /// Whether the smoothed demand was reset and no call has needed a retry since.
     bool m_isIdle = true;
 };
 
--- a/include/stairspur/retry/RetryLedger.h
+++ b/include/stairspur/retry/RetryLedger.h
@@ -7,49 +7,56 @@
 
 #include <stairspur/core/Identifiers.h>
 
-/// Retries: one budget per root request, kept where its calls run, and a token bucket per service.
+/// Limits on retries: one retry budget per root request, divided among its calls on the hosts where they run, and one
+/// token bucket per service at each entry.
 namespace stairspur::retry {
 
-/// The extra attempts that a running call and its deeper calls may still make. The gate that dispatched the call keeps
-/// it, since every deeper call comes back to the entry of the same host.
+/// The extra attempts that each running call and its deeper calls may still make. It is kept by the gate that dispatched
+/// the call, since the entry of the same host receives every deeper call.
 ///
-/// Over the whole chain: dispatches <= calls of the graph + budget of the root. For this every dispatch but a call's
-/// first one costs one of the budget, also the deeper calls that a repeated run makes anew.
+/// Over the whole call graph: dispatches <= calls of the graph + budget of the root. To guarantee this, every dispatch
+/// of a call after its first one costs one extra attempt, including the deeper calls that a repeated run makes again.
 class RetryLedger
 {
 public:
-    /// A call was dispatched with `budget` extra attempts left for it and everything below. `isRepeat`: an earlier
-    /// attempt at it, or at a call above it, may have run, so that its deeper calls may have been dispatched already.
+    /// Records that a call was dispatched with `budget` extra attempts for its deeper calls.
+    ///
+    /// `isRepeat`: an earlier attempt at the call, or at a call above it, may have run, so its deeper calls may have been
+    /// dispatched already.
     auto open(CallId call, std::uint32_t budget, bool isRepeat = false) -> void;
 
-    /// Whether the call still runs here.
+    /// Returns whether the call is still running here.
     [[nodiscard]] auto isOpen(CallId call) const -> bool;
 
-    /// Whether the call was opened as a repeat. False for a call that is not open.
+    /// Returns whether the call was opened as a repeat. Returns false for a call that is not open.
     [[nodiscard]] auto isRepeat(CallId call) const -> bool;
 
-    /// Extra attempts that the call has left. None for a call that is not open.
+    /// Returns the remaining extra attempts of the call. Returns 0 for a call that is not open.
     [[nodiscard]] auto left(CallId call) const -> std::uint32_t;
 
-    /// A deeper call starts: takes its share of what is left, so that siblings have some too. Nothing when the parent is
-    /// not open, or when it is a repeat that has nothing left: below a repeat, the dispatch itself costs one.
+    /// Takes the share of a new deeper call from the remaining extra attempts of its parent: half of them, so that later
+    /// siblings get some too.
+    ///
+    /// Returns nothing if the parent is not open, or if it is a repeat without remaining extra attempts: each dispatch
+    /// below a repeat costs one.
     auto takeShare(CallId parent) -> std::optional<std::uint32_t>;
 
-    /// The deeper call ended and did not spend `unspent` of its share. A lost answer returns nothing, and
-    /// neither does one that claims more than was taken.
+    /// Returns the `unspent` part of the share of an ended deeper call to its parent. After a lost answer `unspent` is 0.
+    /// An answer that claims more than was taken returns nothing.
     auto giveBack(CallId parent, std::uint32_t unspent) -> void;
 
-    /// The call ended. What is left goes back with its answer.
+    /// Removes an ended call and returns its remaining extra attempts, which are sent with its answer.
     auto close(CallId call) -> std::uint32_t;
 
-    /// Calls that run here now.
+    /// Returns the number of calls that are running here.
     [[nodiscard]] auto size() const -> std::size_t { return m_accounts.size(); }
 
 private:
     struct Account
     {
         std::uint32_t left = 0;
-        std::uint32_t taken = 0; ///< Shares that did not come back. left + taken never grows.
+        std::uint32_t taken =
+                0; ///< Sum of the shares that were not returned. left + taken never grows.
         bool isRepeat = false;
     };
 
--- a/include/stairspur/retry/RetryPolicy.h
+++ b/include/stairspur/retry/RetryPolicy.h
@@ -8,34 +8,34 @@
 
 namespace stairspur::retry {
 
-/// What is known when an attempt ended without a whole answer.
+/// The inputs of decideRetry() after an attempt that ended without a complete response.
 struct AttemptEnd
 {
     Outcome outcome = Outcome::Unknown;
     Reason reason = Reason::None;
-    /// It may have reached a backend server, so another one counts as a retry.
+    /// The attempt may have reached a backend server, so another attempt counts as a retry.
     bool wasDispatched = false;
     bool isIdempotent = false;    ///< The call may run more than once.
-    std::uint32_t budget = 0;     ///< Extra attempts left for this call.
-    bool hasServiceToken = false; ///< The service's bucket has a token.
-    Duration remaining{0};        ///< Until the deadline.
-    Duration expectedLatency{0};  ///< Of another attempt.
-    /// The backend server itself refused it, and counts the next attempt as one more arrival.
+    std::uint32_t budget = 0;     ///< Remaining extra attempts of the call.
+    bool hasServiceToken = false; ///< The retry bucket of the service has a token.
+    Duration remaining{0};        ///< Time until the deadline.
+    Duration expectedLatency{0};  ///< Expected latency of another attempt.
+    /// The backend server itself refused the attempt and counts the next attempt as another arrival.
     bool didArrive = false;
 };
 
 enum class RetryDecision {
-    Elsewhere, ///< Send to another upstream; costs nothing, since nothing was dispatched.
-    Retry,     ///< Send again; costs one of the budget and one token.
-    GiveUp,    ///< Answer the caller now.
+    Elsewhere, ///< Send to another upstream. This costs nothing, since nothing was dispatched.
+    Retry,     ///< Send again. This costs one extra attempt and one token.
+    GiveUp,    ///< Answer the caller without another attempt.
 };
 
-/// Most upstreams that one call is sent to without having been dispatched, besides the first one. Each such try costs
-/// a round trip of the caller's time (about 2 ms between the failure domains of one region), and its refusal tells the
-/// upstream's floor to the calls that follow. Eight upstreams that refuse are half of a default subset.
+/// Maximum number of further upstreams, after the first one, that one call is sent to while it is not dispatched. Each
+/// such try adds one round trip to the latency of the call (about 2 ms between the failure domains of one region), and
+/// its refusal reports the upstream's floor, which later calls use. Eight upstreams are half of a default subset.
 inline constexpr std::uint32_t MaxElsewhereTries = 8;
 
-/// Non-idempotent calls are sent again only after a proven `not-run`.
+/// Returns what to do after an attempt. A call that is not idempotent is sent again only after a proven `not-run`.
 auto decideRetry(const AttemptEnd &end) -> RetryDecision;
 
 } // namespace stairspur::retry
--- a/include/stairspur/retry/RetryPrecedence.h
+++ b/include/stairspur/retry/RetryPrecedence.h
@@ -7,15 +7,17 @@
 
 namespace stairspur::retry {
 
-/// Requests with this many calls left or more are not told apart: of a service that refuses half of its arrivals they take
-/// ten retries and more each.
+/// Number of calls left from which on all requests get the same precedence, in calls. At a service that refuses half of
+/// its arrivals, each such request needs ten retries or more.
 inline constexpr auto MostCallsToTellApart = std::uint32_t{8};
 
-/// Where a call stands among those that want a retry; the greater one gets it. `callsLeft`: calls of its kind that its
-/// root request still has to make, this one included.
+/// Returns the precedence of a call among the calls that need a retry. Calls of greater precedence are retried first.
 ///
-/// The class comes first. Within it the requests that need the fewest calls more do: each call left costs more retries, and
-/// what was spent on a request that is then not finished is lost. Then the hash of the root decides, as everywhere.
+/// `callsLeft`: calls of the same kind that the root request still has to make, including this one.
+///
+/// The class is compared first. Within a class, requests with fewer calls left have precedence: each call left may need
+/// more retries, and the retries of a request that is not completed are wasted. The hash of the root is compared last, as
+/// in all other modules.
 constexpr auto retryPrecedence(Level level, std::uint32_t callsLeft) -> Level
 {
     constexpr auto LevelsPerStep = HashesPerClass / MostCallsToTellApart;
--- a/include/stairspur/retry/RetryTokenBucket.h
+++ b/include/stairspur/retry/RetryTokenBucket.h
@@ -9,65 +9,71 @@
 
 namespace stairspur::retry {
 
-/// What fills a service's bucket.
+/// The limits of a service's bucket. Tokens are retries.
 struct BucketLimits
 {
-    double successShare = 0; ///< Tokens that come with each success.
-    double requestShare = 0; ///< Tokens that come with each request, whatever becomes of it.
-    double size = 0;         ///< Tokens that the bucket holds at most.
-    /// Over which retries are bounded to `requestShare` of the requests and `size` more; 0: only by what flows in and out.
+    double successShare = 0; ///< Tokens that each success adds.
+    double requestShare = 0; ///< Tokens that each request adds, regardless of its outcome.
+    double size = 0;         ///< Maximum number of tokens in the bucket.
+    /// Length of the time window in which retries are limited to `requestShare` of the requests plus `size`. With 0, only
+    /// the tokens in the bucket limit retries.
     Duration window{0};
 
     auto operator==(const BucketLimits &) const -> bool = default;
 };
 
-/// Bounds retries to a share of the successes or requests of a service, so that a failing service is not flooded by
+/// Limits retries to a share of the successes or requests of a service, so that a failing service is not overloaded by
 /// retries.
 ///
-/// With a window, tokens come from what the window still allows: at an even pace, so that trouble of some seconds does not
-/// find the bucket empty after the first.
+/// With a window, tokens are added from the allowance of the window at an even rate, so that a fault that lasts several
+/// seconds does not empty the bucket in the first one.
 ///
-/// When tokens are short they go by precedence (see RetryPrecedence.h), down to a floor at which what is wanted meets what
-/// there is: few roots are served whole, and not many given a token or two of which each fails with some other call.
+/// While tokens are scarce, they are granted by precedence (see RetryPrecedence.h) down to a floor at which the demand
+/// equals the supply. Few root requests then get all the tokens that they need, instead of many that get one or two each
+/// and fail with another call.
 class RetryTokenBucket
 {
 public:
+    /// Creates a full bucket.
     explicit RetryTokenBucket(const BucketLimits &limits);
     RetryTokenBucket(double successShare, double size)
         : RetryTokenBucket(BucketLimits{successShare, 0, size})
     {}
 
-    /// Other limits from a newer configuration or another size of the fleet; tokens above the new size are lost.
+    /// Replaces the limits after a change of the configuration or of the fleet size. Tokens above the new size are dropped.
     auto setLimits(const BucketLimits &limits) -> void;
 
-    /// Tells the time of everything that follows, and adds the tokens that have come with it.
+    /// Sets the time of the events recorded from now on, and adds the tokens that the elapsed time allows.
     auto didPassTime(TimePoint now) -> void;
 
+    /// Records a request to the service.
     auto didRequest() -> void;
+    /// Records a request that succeeded.
     auto didSucceed() -> void;
 
-    /// Takes a token, or says that none is left.
+    /// Takes a token. Returns false if there is none.
     auto tryTake() -> bool;
 
-    /// A call of this precedence wants a token, whether it gets one or not.
+    /// Records that a call of this precedence needs a token, whether or not it gets one.
     auto didWant(Level precedence) -> void { m_demand.didWant(precedence); }
 
-    /// Whether there is a token, and a call of this precedence may have it.
+    /// Returns whether there is a token that a call of this precedence may take.
     [[nodiscard]] auto hasTokenFor(Level precedence) const -> bool;
 
-    /// A call was sent that is a repeat already, because the call above it is one. It cannot be refused, so the bucket may
-    /// run into debt.
+    /// Takes a token for a call that was sent as a repeat because the call above it is one. Such a call cannot be refused,
+    /// so the number of tokens may become negative.
     auto didRepeat() -> void;
 
-    /// The lowest precedence that may have a token.
+    /// Returns the lowest precedence that may take a token.
     [[nodiscard]] auto floor() const -> Level { return m_demand.floor(); }
 
+    /// Returns the number of tokens. It is negative after more repeats than there were tokens.
     [[nodiscard]] auto tokens() const -> double { return m_tokens; }
 
 private:
     auto add(double tokens) -> void;
     auto refill(Duration elapsed) -> void;
-    /// What the bucket holds at most now.
+    /// Returns the current maximum number of tokens.
     [[nodiscard]] auto capacity() const -> double;
 
     BucketLimits m_limits;
@@ -75,8 +81,8 @@
     RetryDemand m_demand;
     TimePoint m_now{};
     TimePoint m_refilledAt{};
-    double m_allowance = 0; ///< Of the window, when it was last asked.
-    double m_added = 0;     ///< Since the last refill.
+    double m_allowance = 0; ///< Allowance of the window at the last refill.
+    double m_added = 0;     ///< Tokens added since the last refill.
     double m_tokensPerSecond = 0;
     double m_tokens;
 };
--- a/source/retry/CallBudget.cpp
+++ b/source/retry/CallBudget.cpp
@@ -11,7 +11,7 @@
 
 auto CallBudget::didAnswer(std::uint32_t unspent) -> void
 {
-    // A claim of more than was sent is false, and nobody knows what was spent.
+    // After a claim of more than was sent, the number of attempts that were spent is unknown.
     if (unspent <= m_sent)
         m_left += unspent;
     m_sent = 0;
--- a/source/retry/RetryDemand.cpp
+++ b/source/retry/RetryDemand.cpp
@@ -5,15 +5,15 @@
 
 namespace stairspur::retry {
 
-/// Over which wants are smoothed: 25 judgements, so that the floor does not follow single calls. Played with 0.1 to 1 s the
-/// share of served requests differs by less than 0.05.
-static constexpr auto Memory = Duration{500'000};
-/// What is there at the moment is laid out over this time.
-static constexpr auto Horizon = Duration{250'000};
-/// Tokens of this time are kept in hand: whoever is high enough never meets an empty bucket.
+/// Time over which the demand is smoothed: 25 updates, so that the floor does not follow single calls. From 0.1 to 1 s
+/// the share of served requests differs by less than 0.05.
+static constexpr auto SmoothingTime = Duration{500'000};
+/// Time over which the available tokens may be spent.
+static constexpr auto SpendingTime = Duration{250'000};
+/// Tokens that are added within this time are kept in reserve, so that calls above the floor never find the bucket empty.
 static constexpr auto ReserveTime = Duration{250'000};
-/// Below this many wants a second in all the past is forgotten.
-static constexpr auto LeastDemand = 0.01;
+/// Total demand, in retries per second, below which the smoothed demand is reset.
+static constexpr auto MinDemand = 0.01;
 
 static auto seconds(Duration time) -> double
 {
@@ -22,7 +22,7 @@
 
 auto RetryDemand::didWant(Level precedence) -> void
 {
-    m_wants[std::min<std::size_t>(precedence.value, LevelCount - 1)] += 1.0F;
+    m_recentDemand[std::min<std::size_t>(precedence.value, LevelCount - 1)] += 1.0F;
     m_isIdle = false;
 }
 
@@ -30,25 +30,26 @@
 {
     if (m_isIdle || elapsed <= Duration::zero())
         return;
-    const auto weight = static_cast<float>(1.0 - std::exp(-seconds(elapsed) / seconds(Memory)));
+    const auto weight =
+            static_cast<float>(1.0 - std::exp(-seconds(elapsed) / seconds(SmoothingTime)));
     const auto length = static_cast<float>(seconds(elapsed));
     const auto reserve = tokensPerSecond * seconds(ReserveTime);
-    const auto affordable = tokensPerSecond + (tokens - reserve) / seconds(Horizon);
+    const auto affordable = tokensPerSecond + (tokens - reserve) / seconds(SpendingTime);
     auto demand = 0.0;
     auto floor = LevelCount;
     for (auto level = LevelCount; level-- > 0;) {
-        auto &perSecond = m_perSecond[level];
-        perSecond += (m_wants[level] / length - perSecond) * weight;
+        auto &perSecond = m_demandPerSecond[level];
+        perSecond += (m_recentDemand[level] / length - perSecond) * weight;
         demand += static_cast<double>(perSecond);
         if (demand <= affordable)
             floor = level;
     }
-    m_wants.fill(0);
-    // Whoever is the highest is never shut out: there is a token for it sooner or later.
+    m_recentDemand.fill(0);
+    // The highest precedence always stays above the floor, since a token for it is added sooner or later.
     m_floor = Level{static_cast<std::uint16_t>(std::min(floor, LevelCount - 1))};
-    m_isIdle = demand < LeastDemand;
+    m_isIdle = demand < MinDemand;
     if (m_isIdle) {
-        m_perSecond.fill(0);
+        m_demandPerSecond.fill(0);
         m_floor = LowestLevel;
     }
 }
--- a/source/retry/RetryPolicy.cpp
+++ b/source/retry/RetryPolicy.cpp
@@ -2,7 +2,7 @@
 
 namespace stairspur::retry {
 
-/// Whether every upstream would answer the same, so that another one need not be asked.
+/// Returns whether every upstream would give the same answer, so that trying another one is useless.
 static auto isFinal(Reason reason) -> bool
 {
     switch (reason) {
@@ -18,10 +18,11 @@
     case Reason::KeyUnknown:
     case Reason::KeyInProgress:
     case Reason::TooLarge:
-    // The call below was sent again as often as it may be. To run this one anew would make all of its calls anew: retries
-    // that multiply from level to level are what keeps an overload going.
+    // The deeper call has already been retried as often as allowed. Running this call again would repeat all of its deeper
+    // calls, and retries that multiply from level to level keep an overload going.
     case Reason::DeeperCallFailed:
-    // Every gate of the service refuses it, and one that has not heard of it yet would lose its backend server.
+    // Every gate of the service refuses the request. At a gate that has not received the quarantine yet, the request would
+    // crash the backend server.
     case Reason::Quarantined:
         return true;
     default:
@@ -29,7 +30,7 @@
     }
 }
 
-/// Whether a second run can do no harm: the call may run twice, or it is proven that it has not run.
+/// Returns whether the call may run again: it is idempotent, or it has provably not run.
 static auto mayRunAgain(const AttemptEnd &end) -> bool
 {
     return end.isIdempotent || end.outcome == Outcome::NotRun;
--- a/source/retry/RetryTokenBucket.cpp
+++ b/source/retry/RetryTokenBucket.cpp
@@ -6,17 +6,18 @@
 namespace stairspur::retry {
 
 static constexpr auto OneToken = 1.0;
-/// Debt that a bucket remembers, in sizes. More would keep a service without retries long after the repeats have ended.
+/// Maximum debt of a bucket, as a multiple of its size. A greater debt would leave a service without retries long after
+/// the repeats have ended.
 static constexpr auto MaxDebtInSizes = 10.0;
 
-/// Time in which the tokens that a window allows would be spent at the pace at which they come: about half of the trouble of
-/// some ten seconds that is seen on the users' platform, so that little of it is left over at the end.
+/// Time over which the allowance of a window is added as tokens. It is about half of the usual length of a fault on the
+/// users' platform, some ten seconds, so that little of the allowance remains at the end of the fault.
 static constexpr auto PaceTime = Duration{4'000'000};
-/// What is not spent at once is kept for this long at that pace.
-static constexpr auto KeptTime = Duration{500'000};
-/// Without a window the rate at which tokens come is smoothed over this time, that of what is wanted.
-static constexpr auto RateMemory = Duration{500'000};
-/// Between two looks at the window, which cost a few hundred additions each.
+/// With a window, the bucket holds at most the tokens that are added within this time.
+static constexpr auto AccumulationTime = Duration{500'000};
+/// Time over which the rate of added tokens is smoothed without a window. It equals that of the demand.
+static constexpr auto RateSmoothingTime = Duration{500'000};
+/// Time between two refills. Each one computes the allowance of the window, which takes a few hundred additions.
 static constexpr auto RefillInterval = Duration{20'000};
 
 RetryTokenBucket::RetryTokenBucket(const BucketLimits &limits)
@@ -53,15 +54,15 @@
 {
     const auto length = static_cast<double>(elapsed.count());
     if (!m_window) {
-        const auto weight = std::min(1.0, length / static_cast<double>(RateMemory.count()));
+        const auto weight = std::min(1.0, length / static_cast<double>(RateSmoothingTime.count()));
         m_tokensPerSecond += (m_added * 1e6 / length - m_tokensPerSecond) * weight;
         m_added = 0;
         return;
     }
     m_allowance = m_window->allowance(m_limits.requestShare, m_limits.size, m_now);
     m_tokensPerSecond = std::max(m_allowance, 0.0) * 1e6 / static_cast<double>(PaceTime.count());
-    const auto paid = static_cast<double>(std::min(elapsed, KeptTime).count()) / 1e6;
-    add(m_tokensPerSecond * paid);
+    const auto paidSeconds = static_cast<double>(std::min(elapsed, AccumulationTime).count()) / 1e6;
+    add(m_tokensPerSecond * paidSeconds);
     m_tokens = std::min(m_tokens, m_allowance);
 }
 
@@ -69,9 +70,9 @@
 {
     if (!m_window)
         return m_limits.size;
-    static constexpr auto KeptShare =
-            static_cast<double>(KeptTime.count()) / static_cast<double>(PaceTime.count());
-    return std::max(m_limits.size, m_allowance * KeptShare);
+    static constexpr auto AccumulatedShare =
+            static_cast<double>(AccumulationTime.count()) / static_cast<double>(PaceTime.count());
+    return std::max(m_limits.size, m_allowance * AccumulatedShare);
 }
 
 auto RetryTokenBucket::add(double tokens) -> void
--- a/source/retry/RetryWindow.cpp
+++ b/source/retry/RetryWindow.cpp
@@ -11,20 +11,20 @@
 
 auto RetryWindow::didRequest(TimePoint now) -> void
 {
-    moveTo(now);
+    advanceTo(now);
     ++at(m_current).requests;
 }
 
 auto RetryWindow::didRetry(TimePoint now) -> void
 {
-    moveTo(now);
+    advanceTo(now);
     ++at(m_current).retries;
 }
 
-auto RetryWindow::moveTo(TimePoint now) -> void
+auto RetryWindow::advanceTo(TimePoint now) -> void
 {
     const auto slot = now.time_since_epoch().count() / m_slotLength;
-    const auto first = std::max(m_current + 1, slot - SlotsKept + 1);
+    const auto first = std::max(m_current + 1, slot - SlotCount + 1);
     for (auto it = first; it <= slot; ++it)
         at(it) = Slot();
     m_current = std::max(m_current, slot);
@@ -32,16 +32,16 @@
 
 auto RetryWindow::at(std::int64_t slot) -> Slot &
 {
-    return m_slots[static_cast<std::size_t>(slot % SlotsKept)];
+    return m_slots[static_cast<std::size_t>(slot % SlotCount)];
 }
 
 auto RetryWindow::sumOf(std::uint32_t Slot::*count, std::int64_t first, std::int64_t last) const
         -> double
 {
-    const auto oldest = std::max<std::int64_t>(m_current - SlotsKept + 1, 0);
+    const auto oldest = std::max<std::int64_t>(m_current - SlotCount + 1, 0);
     auto sum = 0.0;
     for (auto it = std::max(first + 1, oldest); it <= std::min(last, m_current); ++it)
-        sum += m_slots[static_cast<std::size_t>(it % SlotsKept)].*count;
+        sum += m_slots[static_cast<std::size_t>(it % SlotCount)].*count;
     return sum;
 }
 
@@ -57,10 +57,10 @@
 
 auto RetryWindow::allowance(double share, double slack, TimePoint now) -> double
 {
-    moveTo(now);
+    advanceTo(now);
     auto least = std::numeric_limits<double>::max();
-    // A retry made now is in every span that ends from now on until a window has passed. Requests still to come are not
-    // counted on.
+    // A retry made now belongs to every span that ends between now and one window length later. Future requests are not
+    // counted.
     for (auto end = m_current; end <= m_current + SlotsPerWindow; ++end) {
         const auto begin = end - SlotsPerWindow;
         const auto same = requestsIn(begin, end);
