--- a/tests/measure/retry/Main.cpp
+++ b/tests/measure/retry/Main.cpp
@@ -1,5 +1,5 @@
-// Compares ways to divide the retry budget of a root request: share of requests that succeed, and dispatches beyond one
-// for each call, over the same seeded losses. Prints a Markdown table.
+// Compares ways to divide the retry budget of a root request under the same seeded losses: the share of requests that
+// succeed, and the dispatches per call. Prints Markdown tables.
 
 #include <cstdio>
 
@@ -11,7 +11,7 @@
 using namespace stairspur;
 using namespace stairspur::retry;
 
-/// A ledger whose deeper calls take `Share(left)`.
+/// A ledger in which each deeper call takes `Share(left)`.
 template <std::uint32_t (*Share)(std::uint32_t)>
 class VariantLedger
 {
@@ -51,8 +51,9 @@
     std::unordered_map<CallId, Account> m_accounts;
 };
 
-/// A budget at the entry that sends `Sent(left)` with each attempt.
-template <std::uint32_t (*Sent)(std::uint32_t), bool KnowsLeaves = false>
+/// A budget of an entry that sends `Sent(left)` with each attempt. With `SkipsLeaves`, attempts at services without deeper
+/// calls carry nothing.
+template <std::uint32_t (*Sent)(std::uint32_t), bool SkipsLeaves = false>
 class VariantBudget
 {
 public:
@@ -62,7 +63,7 @@
     {}
     auto startAttempt(bool hasDeeperCalls) -> AttemptBudget
     {
-        m_sent = KnowsLeaves && !hasDeeperCalls ? 0 : Sent(m_left);
+        m_sent = SkipsLeaves && !hasDeeperCalls ? 0 : Sent(m_left);
         m_left -= m_sent;
         return {m_sent, m_isRepeat};
     }
@@ -97,12 +98,12 @@
     return 0;
 }
 
-static auto halfUp(std::uint32_t left) -> std::uint32_t
+static auto halfRoundedUp(std::uint32_t left) -> std::uint32_t
 {
     return left - left / 2;
 }
 
-static auto threeQuartersUp(std::uint32_t left) -> std::uint32_t
+static auto threeQuartersRoundedUp(std::uint32_t left) -> std::uint32_t
 {
     return left - left / 4;
 }
@@ -132,7 +133,7 @@
             auto successes = 0;
             for (const auto &shape : Shapes) {
                 for (auto seed = 0; seed < Runs; ++seed) {
-                    // A third each: lost request, lost answer, failure.
+                    // Lost requests, lost answers and failures are a third of the losses each.
                     const auto losses = LossPattern{.lostRequest = loss / 3,
                                                     .lostAnswer = loss / 3,
                                                     .failure = loss / 3,
@@ -151,32 +152,33 @@
     std::printf(" %.4f |\n", extra / static_cast<double>(runs));
 }
 
-/// One table: deeper calls one after the other, or all at once.
+/// Prints one table, for deeper calls that run one after the other or in parallel.
 static auto printTable(bool isParallel) -> void
 {
     std::printf("\nDeeper calls %s; %d runs of each of %zu graphs.\n\n",
-                isParallel ? "all at once" : "one after the other", Runs, std::size(Shapes));
+                isParallel ? "in parallel" : "one after the other", Runs, std::size(Shapes));
     std::printf("| sent with an attempt; share of a deeper call | 1%%, B=1 | 1%%, B=3 | 1%%, B=10 "
                 "| 5%%, B=1 | 5%%, B=3 | 5%%, B=10 | dispatches per call |\n"
                 "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
-    printRow<RetryLedger, CallBudget>("stairspur as built", isParallel);
+    printRow<RetryLedger, CallBudget>("stairspur", isParallel);
     printRow<VariantLedger<none>, VariantBudget<none>>("none; none", isParallel);
-    printRow<VariantLedger<halfUp>, VariantBudget<halfUp>>("half, up; half, up", isParallel);
-    printRow<VariantLedger<halfUp>, VariantBudget<all>>("all; half, up", isParallel);
+    printRow<VariantLedger<halfRoundedUp>, VariantBudget<halfRoundedUp>>(
+            "half, rounded up; half, rounded up", isParallel);
+    printRow<VariantLedger<halfRoundedUp>, VariantBudget<all>>("all; half, rounded up", isParallel);
     printRow<VariantLedger<all>, VariantBudget<all>>("all; all", isParallel);
     printRow<VariantLedger<all>, VariantBudget<allButOne>>("all but one; all", isParallel);
     printRow<VariantLedger<all>, VariantBudget<allButOneOfTwo>>("all, but one of two or more; all",
                                                                 isParallel);
-    printRow<VariantLedger<threeQuartersUp>, VariantBudget<threeQuartersUp>>(
-            "three quarters, up; the same", isParallel);
+    printRow<VariantLedger<threeQuartersRoundedUp>, VariantBudget<threeQuartersRoundedUp>>(
+            "three quarters, rounded up; the same", isParallel);
     printRow<VariantLedger<all>, VariantBudget<all, true>>("none to a leaf, else all; all",
                                                            isParallel);
     printRow<VariantLedger<all>, VariantBudget<allButOneOfTwo, true>>(
             "none to a leaf, else all but one of two or more; all", isParallel);
-    printRow<VariantLedger<threeQuartersUp>, VariantBudget<all, true>>(
-            "none to a leaf, else all; three quarters, up", isParallel);
-    printRow<VariantLedger<halfUp>, VariantBudget<all, true>>("none to a leaf, else all; half, up",
-                                                              isParallel);
+    printRow<VariantLedger<threeQuartersRoundedUp>, VariantBudget<all, true>>(
+            "none to a leaf, else all; three quarters, rounded up", isParallel);
+    printRow<VariantLedger<halfRoundedUp>, VariantBudget<all, true>>(
+            "none to a leaf, else all; half, rounded up", isParallel);
 }
 
 auto main() -> int
--- a/tests/retry/GraphDriver.h
+++ b/tests/retry/GraphDriver.h
@@ -8,26 +8,26 @@
 #include <stairspur/core/Random.h>
 #include <stairspur/retry/RetryPolicy.h>
 
-/// A call graph run in memory over the ledger, the budget and the decision that a node uses, with seeded losses.
+/// Runs call graphs in memory with the ledger, the budget and the retry decision that a node uses, under seeded faults.
 namespace stairspur::retry {
 
 struct GraphShape
 {
-    std::uint32_t depth = 1;  ///< Services one below the other, the root's included.
-    std::uint32_t fanOut = 1; ///< Deeper calls of each call.
-    std::size_t maxCalls = 300;
+    std::uint32_t depth = 1;    ///< Levels of services, including the root's.
+    std::uint32_t fanOut = 1;   ///< Deeper calls of each call.
+    std::size_t maxCalls = 300; ///< Maximum number of calls in the graph.
 };
 
-/// Probabilities for each attempt.
+/// Probabilities of the faults of each attempt.
 struct LossPattern
 {
-    double lostRequest = 0;  ///< The gate never sees it; the entry cannot know.
-    double lostAnswer = 0;   ///< It ran, but the entry hears nothing.
-    double refusal = 0;      ///< Proven not run.
-    double failure = 0;      ///< The backend server answers that it failed.
-    double duplicate = 0;    ///< Request and answer both arrive twice.
-    double lie = 0;          ///< The answer claims more unspent budget than there ever was.
-    bool isParallel = false; ///< Deeper calls all start before the first one ends.
+    double lostRequest = 0;  ///< The gate does not receive it, and the entry cannot detect that.
+    double lostAnswer = 0;   ///< The call ran, but the entry receives no answer.
+    double refusal = 0;      ///< The call has provably not run.
+    double failure = 0;      ///< The backend server answers with a failure.
+    double duplicate = 0;    ///< The request and the answer both arrive twice.
+    double falseClaim = 0;   ///< The answer claims more unspent budget than was ever taken.
+    bool isParallel = false; ///< All deeper calls start before the first one ends.
 };
 
 struct GraphRun
@@ -36,7 +36,7 @@
     std::uint64_t dispatches = 0;
 };
 
-/// Children of each call. One line of calls reaches the full depth; the rest is filled breadth first.
+/// Returns the children of each call. One chain of calls reaches the full depth. The rest is filled breadth first.
 inline auto makeGraph(const GraphShape &shape) -> std::vector<std::vector<std::size_t>>
 {
     auto children = std::vector<std::vector<std::size_t>>(1);
@@ -73,18 +73,18 @@
     {
         m_dispatches = 0;
         auto root = Budget(budget, false);
-        const auto isSuccess = place(0, root);
+        const auto isSuccess = sendUntilFinal(0, root);
         return {isSuccess, m_dispatches};
     }
 
-    /// Calls that the gates still hold open. None after a run.
+    /// Returns the number of calls that are still open at the gates. It must be 0 after a run.
     [[nodiscard]] auto openCalls() const -> std::size_t { return m_ledger.size(); }
 
 private:
     auto happens(double probability) -> bool { return randomUnit(m_random) < probability; }
 
-    /// The entry: sends until the call is answered or the decision is to give up.
-    auto place(std::size_t call, Budget &budget) -> bool
+    /// Acts as the entry: sends the call until it is answered or the decision is to give up.
+    auto sendUntilFinal(std::size_t call, Budget &budget) -> bool
     {
         auto elsewhereTries = 0U;
         for (;;) {
@@ -130,18 +130,18 @@
             return;
         end.outcome = isSuccess ? Outcome::Answered : Outcome::Failed;
         end.reason = Reason::None;
-        if (happens(m_losses.lie))
+        if (happens(m_losses.falseClaim))
             unspent += 1000;
         budget.didAnswer(unspent);
         if (isDuplicate)
             budget.didAnswer(unspent);
     }
 
-    /// The gate: a request whose id the link has carried before is dropped.
+    /// Acts as the gate: drops a request whose id was received before, else runs it.
     template <typename Sent>
     auto dispatch(std::size_t call, CallId id, const Sent &sent, std::uint32_t &unspent) -> bool
     {
-        if (!m_seen.insert(id).second)
+        if (!m_receivedIds.insert(id).second)
             return false;
         ++m_dispatches;
         m_ledger.open(id, sent.retryBudget, sent.isRepeat);
@@ -158,23 +158,24 @@
         for (std::size_t n = 0; n < children.size() && isSuccess; ++n) {
             const auto share = m_ledger.takeShare(parent);
             if (!share)
-                return settle(parent, budgets);
+                return returnShares(parent, budgets);
             budgets.emplace_back(*share, m_ledger.isRepeat(parent));
             if (!m_losses.isParallel) {
-                isSuccess = place(children[n], budgets.back());
+                isSuccess = sendUntilFinal(children[n], budgets.back());
                 m_ledger.giveBack(parent, budgets.back().left());
                 budgets.clear();
             }
         }
         for (std::size_t n = 0; n < budgets.size(); ++n) {
-            isSuccess = place(children[n], budgets[n]) && isSuccess;
+            isSuccess = sendUntilFinal(children[n], budgets[n]) && isSuccess;
             m_ledger.giveBack(parent, budgets[n].left());
         }
         return isSuccess;
     }
 
-    /// A repeat that cannot pay for its next deeper call fails; the shares of those not yet sent come back.
-    auto settle(CallId parent, const std::vector<Budget> &budgets) -> bool
+    /// Fails a repeat that has no extra attempt left for its next deeper call, and returns the shares of the deeper calls
+    /// that were not sent to the ledger.
+    auto returnShares(CallId parent, const std::vector<Budget> &budgets) -> bool
     {
         for (const auto &it : budgets)
             m_ledger.giveBack(parent, it.left());
@@ -185,7 +186,7 @@
     LossPattern m_losses;
     Random m_random;
     Ledger m_ledger;
-    std::unordered_set<CallId> m_seen;
+    std::unordered_set<CallId> m_receivedIds;
     CallId m_lastId = 0;
     std::uint64_t m_dispatches = 0;
 };
--- a/tests/retry/TestRetryBound.cpp
+++ b/tests/retry/TestRetryBound.cpp
@@ -27,8 +27,8 @@
         {"failures", {.failure = 0.3}},
         {"all fail", {.failure = 1.0}},
         {"duplicates", {.lostAnswer = 0.2, .duplicate = 0.5}},
-        {"lying answers", {.failure = 0.3, .lie = 1.0}},
-        {"everything at once", {0.1, 0.2, 0.1, 0.2, 0.3, 0.5}},
+        {"answers with false claims", {.failure = 0.3, .falseClaim = 1.0}},
+        {"all faults at once", {0.1, 0.2, 0.1, 0.2, 0.3, 0.5}},
 };
 
 static auto checkBound(const GraphShape &shape, const NamedPattern &pattern, bool isParallel,
@@ -62,7 +62,7 @@
     }
 }
 
-Test(RetryBound, theGraphReachesItsDepthAndFanOut)
+Test(RetryBound, graphHasItsDepthAndFanOut)
 {
     cr_assert_eq(makeGraph({10, 1}).size(), 10);
     cr_assert_eq(makeGraph({3, 4}).size(), 21);
@@ -77,10 +77,11 @@
     cr_assert_eq(run.dispatches, driver.calls());
 }
 
-Test(RetryBound, oneExtraAttemptSurvivesALostAnswerAtTheRoot)
+Test(RetryBound, oneExtraAttemptRecoversFromALostAnswerAtTheRoot)
 {
     auto successes = 0;
     for (auto seed = 1U; seed <= 200; ++seed)
         successes += Driver({1, 1}, {.lostAnswer = 0.5}, seed).run(1).isSuccess ? 1 : 0;
-    cr_assert_gt(successes, 130, "%d of 200, where one attempt alone succeeds in half", successes);
+    cr_assert_gt(successes, 130,
+                 "%d of 200 succeeded; a single attempt succeeds in half of the runs", successes);
 }
--- a/tests/retry/TestRetryLedger.cpp
+++ b/tests/retry/TestRetryLedger.cpp
@@ -28,7 +28,7 @@
     }
 }
 
-Test(RetryLedger, aCallThatIsNotOpenHasNothing)
+Test(RetryLedger, aCallThatIsNotOpenHasNoBudget)
 {
     auto ledger = RetryLedger();
     cr_assert(!ledger.isOpen(1));
@@ -39,7 +39,7 @@
     cr_assert_eq(ledger.close(1), 0);
 }
 
-Test(RetryLedger, noMoreComesBackThanWasTaken)
+Test(RetryLedger, noMoreIsReturnedThanWasTaken)
 {
     auto ledger = RetryLedger();
     ledger.open(1, 4);
@@ -51,28 +51,28 @@
     cr_assert_eq(ledger.close(1), 4);
 }
 
-Test(RetryLedger, belowARepeatTheDispatchItselfCostsOne)
+Test(RetryLedger, aDispatchBelowARepeatCostsOneExtraAttempt)
 {
     auto ledger = RetryLedger();
     ledger.open(1, 2, true);
     cr_assert(ledger.isRepeat(1));
     cr_assert_eq(ledger.takeShare(1).value(), 1);
-    cr_assert(!ledger.takeShare(1), "nothing is left to pay with");
+    cr_assert(!ledger.takeShare(1), "no extra attempts remain for the dispatch");
     cr_assert(ledger.isOpen(1));
 }
 
-Test(CallBudget, aServiceWithoutDeeperCallsGetsNothingAndLosesNothing)
+Test(CallBudget, anAttemptAtAServiceWithoutDeeperCallsCarriesNoBudget)
 {
     auto budget = CallBudget(1, false);
     const auto first = budget.startAttempt(false);
     cr_assert_eq(first.retryBudget, 0);
     cr_assert(!first.isRepeat);
-    cr_assert(budget.trySpend(), "the answer was lost, the budget not");
+    cr_assert(budget.trySpend(), "a lost answer leaves the budget unchanged");
     cr_assert(budget.startAttempt(false).isRepeat);
     cr_assert(!budget.trySpend());
 }
 
-Test(CallBudget, aLostAnswerLosesWhatWentWithIt)
+Test(CallBudget, aLostAnswerLosesTheBudgetThatTheAttemptCarried)
 {
     auto budget = CallBudget(3, false);
     cr_assert_eq(budget.startAttempt(true).retryBudget, 3);
@@ -86,13 +86,13 @@
     cr_assert(!budget.trySpend());
 }
 
-Test(RetryTokenBucket, requestsFillItAndAnotherSizeCutsIt)
+Test(RetryTokenBucket, requestsAddTokensAndASmallerSizeDropsThem)
 {
     auto bucket = RetryTokenBucket(BucketLimits{0, 0.5, 2});
     cr_assert(bucket.tryTake() && bucket.tryTake() && !bucket.tryTake());
     bucket.didRequest();
     bucket.didSucceed();
-    cr_assert(!bucket.tryTake(), "a success alone adds nothing here");
+    cr_assert(!bucket.tryTake(), "with these limits a success adds no token");
     bucket.didRequest();
     cr_assert(bucket.tryTake());
     bucket.setLimits({0, 1.0, 1});
@@ -101,17 +101,18 @@
     cr_assert_leq(bucket.tokens(), 1.0);
 }
 
-Test(RetryTokenBucket, repeatsOfTheCallAboveRunItIntoDebt)
+Test(RetryTokenBucket, repeatsOfTheCallAboveCanCauseDebt)
 {
     auto bucket = RetryTokenBucket(BucketLimits{0, 1.0, 2});
     for (auto n = 0; n < 5; ++n)
         bucket.didRepeat();
     for (auto n = 0; n < 3; ++n)
         bucket.didRequest();
-    cr_assert(!bucket.tryTake(), "three requests have paid for three of the five only");
+    cr_assert(!bucket.tryTake(),
+              "three requests add three tokens, which cover three of the five repeats");
 }
 
-Test(RetryTokenBucket, whenTokensAreShortTheyGoToFewRoots)
+Test(RetryTokenBucket, scarceTokensAreGrantedToFewRoots)
 {
     constexpr auto Levels = std::uint16_t{128};
     auto bucket = RetryTokenBucket(BucketLimits{0, 0.2, 2});
@@ -133,10 +134,10 @@
     auto high = 0;
     for (auto hash = 0; hash < Levels; ++hash)
         (hash < Levels / 2 ? low : high) += retries[hash];
-    cr_assert_gt(high, 20 * low, "the upper half got %d, the lower %d", high, low);
+    cr_assert_gt(high, 20 * low, "the upper half got %d tokens, the lower half %d", high, low);
 }
 
-Test(RetryTokenBucket, theFloorFallsOnceThereAreTokensAgain)
+Test(RetryTokenBucket, theFloorDecreasesOnceTokensAreAvailableAgain)
 {
     auto bucket = RetryTokenBucket(BucketLimits{0, 1.0, 1});
     cr_assert(bucket.tryTake());
@@ -158,7 +159,7 @@
     auto bucket = RetryTokenBucket(0.1, 2);
     cr_assert(bucket.tryTake());
     cr_assert(bucket.tryTake());
-    cr_assert(!bucket.tryTake(), "starts full and then is empty");
+    cr_assert(!bucket.tryTake(), "the bucket starts full, with two tokens");
     for (auto n = 0; n < 11; ++n)
         bucket.didSucceed();
     cr_assert(bucket.tryTake());
--- a/tests/retry/TestRetryPolicy.cpp
+++ b/tests/retry/TestRetryPolicy.cpp
@@ -28,7 +28,7 @@
         {"shed, no token", {NotRun, BackendShed, true, false, 1, false, Second}, GiveUp},
         {"lost, idempotent", {Unknown, LinkLost, true, true, 1, true, Second}, Retry},
         {"lost, not idempotent", {Unknown, LinkLost, true, false, 9, true, Second}, GiveUp},
-        {"unknown, not idempotent, said undispatched",
+        {"unknown, not idempotent, reported as not dispatched",
          {Unknown, LinkLost, false, false, 9, true, Second},
          GiveUp},
         {"failed, not idempotent", {Failed, BackendFailed, true, false, 9, true, Second}, GiveUp},
@@ -39,22 +39,22 @@
         {"no time left", {NotRun, QueueFull, false, true, 3, true, Duration{0}}, GiveUp},
         {"too little time left", {Failed, None, true, true, 3, true, Second, Second * 2}, GiveUp},
         {"just enough time left", {Failed, None, true, true, 3, true, Second, Second}, Retry},
-        {"the same everywhere: bad request",
+        {"same answer from every upstream: bad request",
          {NotRun, BadRequest, false, true, 3, true, Second},
          GiveUp},
-        {"the same everywhere: cancelled",
+        {"same answer from every upstream: cancelled",
          {NotRun, Cancelled, false, true, 3, true, Second},
          GiveUp},
-        {"the same everywhere: key in progress",
+        {"same answer from every upstream: key in progress",
          {NotRun, KeyInProgress, false, true, 3, true, Second},
          GiveUp},
-        {"fresh node without configuration",
+        {"started node without configuration",
          {NotRun, NoConfiguration, false, true, 0, false, Second},
          Elsewhere},
         {"draining", {NotRun, Draining, false, false, 0, false, Second}, Elsewhere},
 };
 
-Test(RetryPolicy, decidesByTable)
+Test(RetryPolicy, decidesAsTheTableStates)
 {
     for (const auto &it : cases)
         cr_assert_eq(decideRetry(it.end), it.decision, "%s", it.name);
--- a/tests/retry/TestRetryPrecedence.cpp
+++ b/tests/retry/TestRetryPrecedence.cpp
@@ -17,8 +17,8 @@
 constexpr auto Second = Duration{1'000'000};
 constexpr auto Start = TimePoint{Duration{1'000'000'000}};
 
-/// Root requests of one kind: how many come, and how many calls each makes, one after the other.
-struct Kind
+/// Root requests of one kind, each of which makes its calls one after the other.
+struct RequestKind
 {
     ClassRank rank = 0;
     double perSecond = 0;
@@ -38,12 +38,12 @@
     auto operator>(const Root &other) const -> bool { return nextAt > other.nextAt; }
 };
 
-/// For eight seconds all upstreams of a service refuse 55 of 100 arrivals at random, after ten calm ones; one entry
-/// makes the calls and has one bucket for them.
+/// Simulates ten seconds without refusals, then eight seconds in which all upstreams of a service refuse 55 of 100
+/// arrivals at random. One entry sends all calls and has one bucket for them.
 class RandomShedding
 {
 public:
-    explicit RandomShedding(std::vector<Kind> kinds)
+    explicit RandomShedding(std::vector<RequestKind> kinds)
         : m_kinds(std::move(kinds))
     {}
 
@@ -69,13 +69,13 @@
     [[nodiscard]] auto retries() const -> std::uint32_t { return m_retries; }
 
 private:
-    static constexpr auto TroubleFrom = Start + 10 * Second;
-    static constexpr auto TroubleTo = Start + 18 * Second;
-    static constexpr auto ShedShare = 0.55;
+    static constexpr auto SheddingFrom = Start + 10 * Second;
+    static constexpr auto SheddingTo = Start + 18 * Second;
+    static constexpr auto ShedRatio = 0.55;
 
-    [[nodiscard]] auto isTrouble() const -> bool
+    [[nodiscard]] auto isShedding() const -> bool
     {
-        return m_now >= TroubleFrom && m_now < TroubleTo;
+        return m_now >= SheddingFrom && m_now < SheddingTo;
     }
 
     auto arrive(std::size_t index) -> void
@@ -83,7 +83,7 @@
         auto &kind = m_kinds[index];
         if (randomUnit(m_random) * 1000 >= kind.perSecond)
             return;
-        if (isTrouble())
+        if (isShedding())
             ++kind.offered;
         m_roots.push({m_now, index, 0, makeLevel(kind.rank, m_random())});
     }
@@ -93,7 +93,7 @@
         auto &kind = m_kinds[root.kind];
         const auto precedence = retryPrecedence(root.level, kind.calls - root.done);
         m_bucket.didRequest();
-        while (isTrouble() && randomUnit(m_random) < ShedShare) {
+        while (isShedding() && randomUnit(m_random) < ShedRatio) {
             m_bucket.didWant(precedence);
             if (!m_bucket.hasTokenFor(precedence) || !m_bucket.tryTake())
                 return;
@@ -102,11 +102,11 @@
         root.nextAt = m_now + kind.callTime;
         if (++root.done < kind.calls)
             m_roots.push(root);
-        else if (isTrouble())
+        else if (isShedding())
             ++kind.served;
     }
 
-    std::vector<Kind> m_kinds;
+    std::vector<RequestKind> m_kinds;
     std::priority_queue<Root, std::vector<Root>, std::greater<>> m_roots;
     RetryTokenBucket m_bucket{BucketLimits{0, 0.2, 3, 10 * Second}};
     Random m_random{11};
@@ -122,30 +122,31 @@
     const auto low = makeLevel(2, 0);
     cr_assert(retryPrecedence(low, 1) > retryPrecedence(high, 2));
     cr_assert(retryPrecedence(low, 4) > retryPrecedence(high, 5));
-    cr_assert(retryPrecedence(high, 3) > retryPrecedence(low, 3), "then the hash of the root");
+    cr_assert(retryPrecedence(high, 3) > retryPrecedence(low, 3),
+              "the hash of the root is compared last");
     cr_assert(retryPrecedence(makeLevel(0, 0), 100) > retryPrecedence(high, 1),
-              "never past a class");
+              "the class is compared first");
     cr_assert_eq(retryPrecedence(high, 8), retryPrecedence(high, 1000));
     cr_assert_eq(retryPrecedence(high, 0), retryPrecedence(high, 1));
 }
 
-Test(RetryPrecedence, underRandomSheddingTokensGoToRootsThatAreFinished)
+Test(RetryPrecedence, underRandomSheddingTokensAreGrantedToRootsThatComplete)
 {
-    // An order takes ten retries on average, and there are some 150 tokens a second for 40 orders and 110 views.
-    // With a floor that rose and fell by single calls 0.117 of the orders were served: most got a few tokens and failed.
+    // An order needs ten retries on average, and about 150 tokens per second are added for 40 orders and 110 views. With a
+    // floor that follows single calls only 0.117 of the orders are served, since most get a few tokens and then fail.
     auto load = RandomShedding(
             {{.rank = 0, .perSecond = 40, .calls = 8, .callTime = 40 * Millisecond},
              {.rank = 2, .perSecond = 110, .calls = 4, .callTime = 40 * Millisecond}});
     load.run();
     cr_assert_gt(load.servedShare(0), 0.3, "orders %.3f", load.servedShare(0));
-    cr_assert_lt(load.servedShare(1), 0.12, "views %.3f: the important class comes first",
+    cr_assert_lt(load.servedShare(1), 0.12, "views %.3f: the more important class has precedence",
                  load.servedShare(1));
-    cr_assert_gt(load.retries(), 1000, "what is allowed is used");
+    cr_assert_gt(load.retries(), 1000, "the allowed retries are used");
 }
 
-Test(RetryPrecedence, whoHasComeFarIsCheaperToFinish)
+Test(RetryPrecedence, requestsWithFewCallsLeftHavePrecedence)
 {
-    // By the hash of the root alone 0.16 of them were served with the same tokens.
+    // With a precedence by the hash of the root alone only 0.16 of the views are served with the same tokens.
     auto load = RandomShedding(
             {{.rank = 2, .perSecond = 150, .calls = 4, .callTime = 40 * Millisecond}});
     load.run();
--- a/tests/retry/TestRetryWindow.cpp
+++ b/tests/retry/TestRetryWindow.cpp
@@ -16,7 +16,7 @@
 static constexpr auto Slack = 3.0;
 static constexpr auto Start = TimePoint{Duration{1'000'000'000}};
 
-/// When requests and retries were, to count them anew in any span.
+/// The times of all requests and retries, from which the counts of any span are computed.
 struct History
 {
     std::vector<TimePoint> requests;
@@ -28,7 +28,7 @@
         return static_cast<double>(std::lower_bound(first, times.end(), to) - first);
     }
 
-    /// Retries above what is allowed, in the worst span that ends at one of the retries.
+    /// Returns the number of retries above the limit in the worst of the spans that end at a retry.
     [[nodiscard]] auto worstExcess() const -> double
     {
         auto worst = 0.0;
@@ -44,7 +44,7 @@
     }
 };
 
-Test(RetryWindow, allowsAShareOfTheRequestsOfTheSpanOrOfTheOneBefore)
+Test(RetryWindow, allowsAShareOfTheRequestsOfTheSpanOrOfTheOneBeforeIt)
 {
     auto window = RetryWindow(Window);
     cr_assert_float_eq(window.allowance(Share, Slack, Start), Slack, 1e-9);
@@ -53,14 +53,14 @@
     cr_assert_float_eq(window.allowance(Share, Slack, Start), 20 + Slack, 1e-9);
     cr_assert_float_eq(window.allowance(Share, Slack, Start + Second * 5), 20 + Slack, 1e-9);
     cr_assert_float_eq(window.allowance(Share, Slack, Start + Second * 30), Slack, 1e-9,
-                       "requests of long ago count no more");
+                       "old requests are no longer counted");
     for (auto n = 0; n < 5; ++n)
         window.didRetry(Start + Second * 30);
     cr_assert_lt(window.allowance(Share, Slack, Start + Second * 30), 0);
     cr_assert_float_eq(window.allowance(Share, Slack, Start + Second * 42), Slack, 1e-9);
 }
 
-Test(RetryWindow, noSpanHoldsMoreThanItsShareWhateverTheTraffic)
+Test(RetryWindow, noSpanExceedsItsShareUnderAnyTraffic)
 {
     for (auto seed = std::uint64_t{1}; seed <= 30; ++seed) {
         auto random = Random(seed);
@@ -81,51 +81,52 @@
                 history.retries.push_back(now);
             }
         }
-        // Slots shift a span of requests by half a second at most, a twentieth of it.
+        // Slots shift a span of requests by at most half a second, a twentieth of its length.
         const auto slotOfRequests = Share * 12 * 50;
         cr_assert_leq(history.worstExcess(), slotOfRequests, "seed %lu", seed);
-        cr_assert_gt(history.retries.size(), 100, "seed %lu: it allows some", seed);
+        cr_assert_gt(history.retries.size(), 100, "seed %lu: the window allows some retries", seed);
     }
 }
 
-/// A service gets a request each 2 ms for ten seconds. In the eight that follow it fails so often that only one comes
-/// each 10 ms, and all retries that may be had are wanted.
-static auto retriesInTrouble(const BucketLimits &limits) -> History
+/// Returns the history of a service that gets one request every 2 ms for ten seconds. In the next eight seconds it fails
+/// so often that only one request arrives every 10 ms, and every allowed retry is made.
+static auto historyWithFault(const BucketLimits &limits) -> History
 {
     static constexpr auto Step = Duration{2'000};
     auto bucket = RetryTokenBucket(limits);
     auto history = History();
     for (auto now = Start; now < Start + Second * 18; now += Step) {
-        const auto isTrouble = now >= Start + Window;
+        const auto isFault = now >= Start + Window;
         bucket.didPassTime(now);
-        if (!isTrouble || now.time_since_epoch() % (5 * Step) == Duration::zero()) {
+        if (!isFault || now.time_since_epoch() % (5 * Step) == Duration::zero()) {
             bucket.didRequest();
             history.requests.push_back(now);
         }
-        if (isTrouble && bucket.tryTake())
+        if (isFault && bucket.tryTake())
             history.retries.push_back(now);
     }
     return history;
 }
 
-Test(RetryTokenBucket, withAWindowTroubleMaySpendWhatCalmTimesAllowed)
+Test(RetryTokenBucket, withAWindowEarlierTrafficSetsTheLimitDuringAFault)
 {
-    const auto plain = retriesInTrouble({0, Share, Slack});
-    const auto windowed = retriesInTrouble({0, Share, Slack, Window});
-    // 5,000 requests in ten seconds allow 1,000 retries. A bucket that fills as requests come gets a fifth of 800.
+    const auto plain = historyWithFault({0, Share, Slack});
+    const auto windowed = historyWithFault({0, Share, Slack, Window});
+    // 5,000 requests in ten seconds allow 1,000 retries. A bucket that only requests fill gets a token for a
+    // fifth of the 800 requests of the fault.
     cr_assert_lt(plain.retries.size(), 170);
     cr_assert_gt(windowed.retries.size(), 700);
     cr_assert_leq(windowed.worstExcess(), 0.0);
     const auto inFirstSecond =
             History::countIn(windowed.retries, Start + Window, Start + Window + Second);
     cr_assert_gt(inFirstSecond, 200);
-    cr_assert_lt(inFirstSecond, 500, "they are not all spent at once");
+    cr_assert_lt(inFirstSecond, 500, "the retries are spread over the fault");
     const auto inLastSecond =
             History::countIn(windowed.retries, Start + Second * 17, Start + Second * 18);
-    cr_assert_gt(inLastSecond, 20, "some are left to the end");
+    cr_assert_gt(inLastSecond, 20, "some tokens remain until the end of the fault");
 }
 
-Test(RetryTokenBucket, repeatsOfTheCallAboveCountInTheWindowToo)
+Test(RetryTokenBucket, repeatsOfTheCallAboveAreCountedInTheWindow)
 {
     auto bucket = RetryTokenBucket({0, Share, Slack, Window});
     bucket.didPassTime(Start);
@@ -135,6 +136,6 @@
         bucket.didRepeat();
     for (auto now = Start; now < Start + Second * 9; now += Second / 10) {
         bucket.didPassTime(now);
-        cr_assert(!bucket.tryTake(), "the repeats have taken all");
+        cr_assert(!bucket.tryTake(), "the repeats have used the whole allowance");
     }
 }
