--- a/tests/retry/TestRetryPolicy.cpp
+++ b/tests/retry/TestRetryPolicy.cpp
@@ -48,7 +48,7 @@
         {"same answer from every upstream: key in progress",
          {NotRun, KeyInProgress, false, true, 3, true, Second},
          GiveUp},
-        {"started node without configuration",
+        {"newly started node without configuration",
          {NotRun, NoConfiguration, false, true, 0, false, Second},
          Elsewhere},
         {"draining", {NotRun, Draining, false, false, 0, false, Second}, Elsewhere},
