--- a/include/stairspur/retry/RetryLedger.h
+++ b/include/stairspur/retry/RetryLedger.h
@@ -41,8 +41,8 @@
     /// below a repeat costs one.
     auto takeShare(CallId parent) -> std::optional<std::uint32_t>;
 
-    /// Returns the `unspent` part of the share of an ended deeper call to its parent. After a lost answer `unspent` is 0.
-    /// An answer that claims more than was taken returns nothing.
+    /// Returns the `unspent` part of the share of an ended deeper call to its parent. The part
+    /// that an attempt with a lost answer carried is not returned, and a claim of more than was taken returns nothing.
     auto giveBack(CallId parent, std::uint32_t unspent) -> void;
 
     /// Removes an ended call and returns its remaining extra attempts, which are sent with its answer.
--- a/include/stairspur/retry/RetryTokenBucket.h
+++ b/include/stairspur/retry/RetryTokenBucket.h
@@ -9,7 +9,7 @@
 
 namespace stairspur::retry {
 
-/// The limits of a service's bucket. Tokens are retries.
+/// The limits of a service's bucket. One token allows one retry.
 struct BucketLimits
 {
     double successShare = 0; ///< Tokens that each success adds.
--- a/source/retry/RetryDemand.cpp
+++ b/source/retry/RetryDemand.cpp
@@ -10,7 +10,8 @@
 static constexpr auto SmoothingTime = Duration{500'000};
 /// Time over which the available tokens may be spent.
 static constexpr auto SpendingTime = Duration{250'000};
-/// Tokens that are added within this time are kept in reserve, so that calls above the floor never find the bucket empty.
+/// Tokens that are added within this time are kept in reserve, so that calls of a high precedence never find the
+/// bucket empty.
 static constexpr auto ReserveTime = Duration{250'000};
 /// Total demand, in retries per second, below which the smoothed demand is reset.
 static constexpr auto MinDemand = 0.01;
@@ -45,7 +46,7 @@
             floor = level;
     }
     m_recentDemand.fill(0);
-    // The highest precedence always stays above the floor, since a token for it is added sooner or later.
+    // The highest precedence may always retry, since a token for it is added sooner or later.
     m_floor = Level{static_cast<std::uint16_t>(std::min(floor, LevelCount - 1))};
     m_isIdle = demand < MinDemand;
     if (m_isIdle) {
--- a/source/retry/RetryTokenBucket.cpp
+++ b/source/retry/RetryTokenBucket.cpp
@@ -13,7 +13,7 @@
 /// Time over which the allowance of a window is added as tokens. It is about half of the usual length of a fault on the
 /// users' platform, some ten seconds, so that little of the allowance remains at the end of the fault.
 static constexpr auto PaceTime = Duration{4'000'000};
-/// With a window, the bucket holds at most the tokens that are added within this time.
+/// Maximum time for which unspent tokens accumulate at that rate.
 static constexpr auto AccumulationTime = Duration{500'000};
 /// Time over which the rate of added tokens is smoothed without a window. It equals that of the demand.
 static constexpr auto RateSmoothingTime = Duration{500'000};
