--- a/include/stairspur/retry/RetryPolicy.h
+++ b/include/stairspur/retry/RetryPolicy.h
@@ -9,7 +9,7 @@
 namespace stairspur::retry {
 
 /// The inputs of decideRetry() after an attempt that ended without a complete response.
-struct AttemptEnd
+struct EndedAttempt
 {
     Outcome outcome = Outcome::Unknown;
     Reason reason = Reason::None;
@@ -36,7 +36,7 @@
 inline constexpr std::uint32_t MaxElsewhereTries = 8;
 
 /// Returns what to do after an attempt. A call that is not idempotent is sent again only after a proven `not-run`.
-auto decideRetry(const AttemptEnd &end) -> RetryDecision;
+auto decideRetry(const EndedAttempt &end) -> RetryDecision;
 
 } // namespace stairspur::retry
 
--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -313,7 +313,7 @@
 auto Entry::nextStep(const IncomingCall &call, ServiceRoutes &routes,
                      const Attempts &attempts) const -> RetryDecision
 {
-    auto end = retry::AttemptEnd();
+    auto end = retry::EndedAttempt();
     end.outcome = attempts.last.outcome;
     end.reason = attempts.last.reason;
     end.wasDispatched = attempts.last.wasDispatched || attempts.last.outcome != Outcome::NotRun;
--- a/source/retry/RetryPolicy.cpp
+++ b/source/retry/RetryPolicy.cpp
@@ -31,12 +31,12 @@
 }
 
 /// Returns whether the call may run again: it is idempotent, or it has provably not run.
-static auto mayRunAgain(const AttemptEnd &end) -> bool
+static auto mayRunAgain(const EndedAttempt &end) -> bool
 {
     return end.isIdempotent || end.outcome == Outcome::NotRun;
 }
 
-auto decideRetry(const AttemptEnd &end) -> RetryDecision
+auto decideRetry(const EndedAttempt &end) -> RetryDecision
 {
     if (end.outcome == Outcome::Answered || isFinal(end.reason))
         return RetryDecision::GiveUp;
--- a/tests/measure/overload/Entry.h
+++ b/tests/measure/overload/Entry.h
@@ -200,10 +200,10 @@
             call.excluded.clear();
             return remaining > Duration(0) && call.plainRetries++ < traits.retriesPerHop;
         }
-        auto end =
-                retry::AttemptEnd{answer.outcome, answer.reason,           answer.wasDispatched,
-                                  true,           call.budget.left(),      m_bucket.tokens() >= 1.0,
-                                  remaining,      m_pool.expectedLatency()};
+        auto end = retry::EndedAttempt{
+                answer.outcome, answer.reason,           answer.wasDispatched,
+                true,           call.budget.left(),      m_bucket.tokens() >= 1.0,
+                remaining,      m_pool.expectedLatency()};
         switch (retry::decideRetry(end)) {
         case retry::RetryDecision::Elsewhere:
             return call.elsewhereTries++ < retry::MaxElsewhereTries;
--- a/tests/retry/GraphDriver.h
+++ b/tests/retry/GraphDriver.h
@@ -101,11 +101,11 @@
         }
     }
 
-    auto attempt(std::size_t call, Budget &budget) -> AttemptEnd
+    auto attempt(std::size_t call, Budget &budget) -> EndedAttempt
     {
         const auto sent = budget.startAttempt(!m_children[call].empty());
-        auto end = AttemptEnd{Outcome::Unknown,    Reason::LinkLost, true, true, 0, true,
-                              Duration{1'000'000}, Duration{1'000}};
+        auto end = EndedAttempt{Outcome::Unknown,    Reason::LinkLost, true, true, 0, true,
+                                Duration{1'000'000}, Duration{1'000}};
         if (happens(m_losses.refusal)) {
             end.outcome = Outcome::NotRun;
             end.wasDispatched = false;
@@ -118,7 +118,7 @@
     }
 
     template <typename Sent>
-    auto deliver(std::size_t call, const Sent &sent, Budget &budget, AttemptEnd &end) -> void
+    auto deliver(std::size_t call, const Sent &sent, Budget &budget, EndedAttempt &end) -> void
     {
         const auto id = ++m_lastId;
         const auto isDuplicate = happens(m_losses.duplicate);
--- a/tests/retry/TestRetryPolicy.cpp
+++ b/tests/retry/TestRetryPolicy.cpp
@@ -15,7 +15,7 @@
 {
     const char *name;
     /// Outcome, reason, wasDispatched, isIdempotent, budget, hasServiceToken, remaining, expectedLatency.
-    AttemptEnd end;
+    EndedAttempt end;
     RetryDecision decision;
 };
 
