--- a/include/stairspur/retry/RetryPolicy.h
+++ b/include/stairspur/retry/RetryPolicy.h
@@ -21,7 +21,7 @@
     Duration remaining{0};        ///< Time until the deadline.
     Duration expectedLatency{0};  ///< Expected latency of another attempt.
     /// The backend server itself refused the attempt and counts the next attempt as another arrival.
-    bool didArrive = false;
+    bool wasRefusedByBackend = false;
 };
 
 enum class RetryDecision {
--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -317,16 +317,16 @@
     end.outcome = attempts.last.outcome;
     end.reason = attempts.last.reason;
     end.wasDispatched = attempts.last.wasDispatched || attempts.last.outcome != Outcome::NotRun;
-    end.didArrive = m_protocol && wasShed(attempts);
+    end.wasRefusedByBackend = m_protocol && wasShed(attempts);
     end.isIdempotent = call.isIdempotent;
-    end.budget = end.didArrive ? 1 : attempts.budget.left();
+    end.budget = end.wasRefusedByBackend ? 1 : attempts.budget.left();
     end.hasServiceToken = true;
     end.remaining = call.deadline - monotonicNow();
     end.expectedLatency = routes.pool.expectedLatency();
     if (retry::decideRetry(end) == RetryDecision::Retry)
         end.hasServiceToken = hasToken(call.request, routes);
     const auto decision = retry::decideRetry(end);
-    const auto isUnrun = decision == RetryDecision::Elsewhere || end.didArrive;
+    const auto isUnrun = decision == RetryDecision::Elsewhere || end.wasRefusedByBackend;
     if (isUnrun && attempts.sent > retry::MaxElsewhereTries)
         return RetryDecision::GiveUp;
     return decision;
--- a/source/retry/RetryPolicy.cpp
+++ b/source/retry/RetryPolicy.cpp
@@ -42,7 +42,7 @@
         return RetryDecision::GiveUp;
     if (end.remaining <= Duration::zero() || end.remaining < end.expectedLatency)
         return RetryDecision::GiveUp;
-    if (end.outcome == Outcome::NotRun && !end.wasDispatched && !end.didArrive)
+    if (end.outcome == Outcome::NotRun && !end.wasDispatched && !end.wasRefusedByBackend)
         return RetryDecision::Elsewhere;
     if (!mayRunAgain(end) || end.budget == 0 || !end.hasServiceToken)
         return RetryDecision::GiveUp;
