--- a/include/stairspur/retry/RetryPrecedence.h
+++ b/include/stairspur/retry/RetryPrecedence.h
@@ -9,7 +9,7 @@
 
 /// Number of calls left from which on all requests get the same precedence, in calls. At a service that refuses half of
 /// its arrivals, each such request needs ten retries or more.
-inline constexpr auto MostCallsToTellApart = std::uint32_t{8};
+inline constexpr auto MaxDistinctCallsLeft = std::uint32_t{8};
 
 /// Returns the precedence of a call among the calls that need a retry. Calls of greater precedence are retried first.
 ///
@@ -20,10 +20,10 @@
 /// in all other modules.
 constexpr auto retryPrecedence(Level level, std::uint32_t callsLeft) -> Level
 {
-    constexpr auto LevelsPerStep = HashesPerClass / MostCallsToTellApart;
-    const auto step = MostCallsToTellApart - std::clamp(callsLeft, 1U, MostCallsToTellApart);
+    constexpr auto LevelsPerStep = HashesPerClass / MaxDistinctCallsLeft;
+    const auto step = MaxDistinctCallsLeft - std::clamp(callsLeft, 1U, MaxDistinctCallsLeft);
     const auto hash = level.value % HashesPerClass;
-    return makeLevel(level.rank(), step * LevelsPerStep + hash / MostCallsToTellApart);
+    return makeLevel(level.rank(), step * LevelsPerStep + hash / MaxDistinctCallsLeft);
 }
 
 } // namespace stairspur::retry
