--- a/include/stairspur/retry/CallBudget.h
+++ b/include/stairspur/retry/CallBudget.h
@@ -36,7 +36,7 @@
 
     /// Adds the extra attempts that the attempt's answer returns as `unspent`. An answer that claims more than the attempt
     /// carried is invalid and returns nothing. Must not be called when the answer is lost.
-    auto didAnswer(std::uint32_t unspent) -> void;
+    auto didReceiveAnswer(std::uint32_t unspent) -> void;
 
     /// Spends one extra attempt to send the call again after an attempt that may have been dispatched. Returns false if no
     /// extra attempts remain.
--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -180,7 +180,7 @@
     request.isRepeat = share.isRepeat;
     auto answer = co_await m_keyedRouter.route(std::move(request), cancellation, isQuery);
     if (answer.outcome != Outcome::Unknown)
-        attempts.budget.didAnswer(answer.unspentBudget);
+        attempts.budget.didReceiveAnswer(answer.unspentBudget);
     co_return answer;
 }
 
@@ -289,7 +289,7 @@
                         call.request.level, call.request.floorPath()},
                        now, m_random);
     if (answer.outcome != Outcome::Unknown)
-        attempts.budget.didAnswer(answer.unspentBudget);
+        attempts.budget.didReceiveAnswer(answer.unspentBudget);
     attempts.mayHaveRun =
             attempts.mayHaveRun || answer.wasDispatched || answer.outcome == Outcome::Unknown;
     attempts.hasArrived = attempts.hasArrived || answer.outcome != Outcome::NotRun
--- a/source/retry/CallBudget.cpp
+++ b/source/retry/CallBudget.cpp
@@ -9,7 +9,7 @@
     return {m_sent, m_isRepeat};
 }
 
-auto CallBudget::didAnswer(std::uint32_t unspent) -> void
+auto CallBudget::didReceiveAnswer(std::uint32_t unspent) -> void
 {
     // After a claim of more than was sent, the number of attempts that were spent is unknown.
     if (unspent <= m_sent)
--- a/tests/measure/overload/Entry.h
+++ b/tests/measure/overload/Entry.h
@@ -178,7 +178,7 @@
         if (answer.report.sequence > 0)
             result.report = answer.report;
         m_pool.didEnd(result, now, m_random);
-        call->budget.didAnswer(answer.unspent);
+        call->budget.didReceiveAnswer(answer.unspent);
         if (answer.outcome == Outcome::Answered) {
             m_bucket.didSucceed();
             finish(call, {Outcome::Answered, Reason::None, Duration(0), 0});
--- a/tests/measure/retry/Main.cpp
+++ b/tests/measure/retry/Main.cpp
@@ -67,7 +67,7 @@
         m_left -= m_sent;
         return {m_sent, m_isRepeat};
     }
-    auto didAnswer(std::uint32_t unspent) -> void
+    auto didReceiveAnswer(std::uint32_t unspent) -> void
     {
         m_left += unspent <= m_sent ? unspent : 0;
         m_sent = 0;
--- a/tests/retry/GraphDriver.h
+++ b/tests/retry/GraphDriver.h
@@ -109,7 +109,7 @@
         if (happens(m_losses.refusal)) {
             end.outcome = Outcome::NotRun;
             end.wasDispatched = false;
-            budget.didAnswer(sent.retryBudget);
+            budget.didReceiveAnswer(sent.retryBudget);
         } else if (!happens(m_losses.lostRequest)) {
             deliver(call, sent, budget, end);
         }
@@ -132,9 +132,9 @@
         end.reason = Reason::None;
         if (happens(m_losses.falseClaim))
             unspent += 1000;
-        budget.didAnswer(unspent);
+        budget.didReceiveAnswer(unspent);
         if (isDuplicate)
-            budget.didAnswer(unspent);
+            budget.didReceiveAnswer(unspent);
     }
 
     /// Acts as the gate: drops a request whose id was received before, else runs it.
