--- a/include/stairspur/retry/CallBudget.h
+++ b/include/stairspur/retry/CallBudget.h
@@ -25,7 +25,7 @@
     /// `share`: the result of RetryLedger::takeShare(), or the whole budget of a root request. `isRepeat`: the result of
     /// RetryLedger::isRepeat() for the parent.
     CallBudget(std::uint32_t share, bool isRepeat)
-        : m_left(share)
+        : m_remaining(share)
         , m_isRepeat(isRepeat)
     {}
 
@@ -44,10 +44,10 @@
 
     /// Returns the remaining extra attempts: an input of decideRetry(), and of RetryLedger::giveBack() once the call has
     /// ended.
-    [[nodiscard]] auto left() const -> std::uint32_t { return m_left; }
+    [[nodiscard]] auto remaining() const -> std::uint32_t { return m_remaining; }
 
 private:
-    std::uint32_t m_left;
+    std::uint32_t m_remaining;
     std::uint32_t m_sent = 0; ///< Carried by the attempt in flight.
     bool m_isRepeat;
 };
--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -164,7 +164,7 @@
     else
         answer = co_await attemptUntilFinal(call, m_routes.of(call.request.service), attempts,
                                             cancellation);
-    answer.unspentBudget = attempts.budget.left();
+    answer.unspentBudget = attempts.budget.remaining();
     co_return answer;
 }
 
@@ -208,7 +208,7 @@
     call.request = std::move(request);
     auto &routes = m_routes.of(call.request.service);
     auto answer = co_await attemptUntilFinal(call, routes, attempts, cancellation);
-    answer.unspentBudget = attempts.budget.left();
+    answer.unspentBudget = attempts.budget.remaining();
     co_return answer;
 }
 
@@ -319,7 +319,7 @@
     end.wasDispatched = attempts.last.wasDispatched || attempts.last.outcome != Outcome::NotRun;
     end.wasRefusedByBackend = m_protocol && wasShed(attempts);
     end.isIdempotent = call.isIdempotent;
-    end.budget = end.wasRefusedByBackend ? 1 : attempts.budget.left();
+    end.budget = end.wasRefusedByBackend ? 1 : attempts.budget.remaining();
     end.hasServiceToken = true;
     end.remaining = call.deadline - monotonicNow();
     end.expectedLatency = routes.pool.expectedLatency();
@@ -376,7 +376,7 @@
             .add("path_floor", decision.pathFloor.value)
             .add("path_floor_age_us", decision.pathFloorAge.value_or(Duration{-1}))
             .add("attempt", attempts.sent + 1)
-            .add("budget", attempts.budget.left());
+            .add("budget", attempts.budget.remaining());
 }
 
 auto Entry::noteRetryDecision(const IncomingCall &call, RetryDecision decision,
@@ -390,7 +390,7 @@
             .add("outcome", attempts.last.outcome)
             .add("reason", attempts.last.reason);
     addCall(line, call.request);
-    line.add("attempt", attempts.sent).add("budget", attempts.budget.left());
+    line.add("attempt", attempts.sent).add("budget", attempts.budget.remaining());
 }
 
 } // namespace stairspur::node
--- a/tests/measure/overload/Entry.h
+++ b/tests/measure/overload/Entry.h
@@ -202,7 +202,7 @@
         }
         auto end = retry::EndedAttempt{
                 answer.outcome, answer.reason,           answer.wasDispatched,
-                true,           call.budget.left(),      m_bucket.tokens() >= 1.0,
+                true,           call.budget.remaining(), m_bucket.tokens() >= 1.0,
                 remaining,      m_pool.expectedLatency()};
         switch (retry::decideRetry(end)) {
         case retry::RetryDecision::Elsewhere:
@@ -218,7 +218,7 @@
     auto finish(const CallPtr &call, CallResult result) -> void
     {
         call->hasEnded = true;
-        result.unspent = call->budget.left();
+        result.unspent = call->budget.remaining();
         const auto done = std::move(call->done);
         done(result);
     }
--- a/tests/measure/retry/Main.cpp
+++ b/tests/measure/retry/Main.cpp
@@ -58,32 +58,32 @@
 {
 public:
     VariantBudget(std::uint32_t share, bool isRepeat)
-        : m_left(share)
+        : m_remaining(share)
         , m_isRepeat(isRepeat)
     {}
     auto startAttempt(bool hasDeeperCalls) -> AttemptBudget
     {
-        m_sent = SkipsLeaves && !hasDeeperCalls ? 0 : Sent(m_left);
-        m_left -= m_sent;
+        m_sent = SkipsLeaves && !hasDeeperCalls ? 0 : Sent(m_remaining);
+        m_remaining -= m_sent;
         return {m_sent, m_isRepeat};
     }
     auto didReceiveAnswer(std::uint32_t unspent) -> void
     {
-        m_left += unspent <= m_sent ? unspent : 0;
+        m_remaining += unspent <= m_sent ? unspent : 0;
         m_sent = 0;
     }
     auto trySpend() -> bool
     {
-        if (m_left == 0)
+        if (m_remaining == 0)
             return false;
-        --m_left;
+        --m_remaining;
         m_isRepeat = true;
         return true;
     }
-    [[nodiscard]] auto left() const -> std::uint32_t { return m_left; }
+    [[nodiscard]] auto remaining() const -> std::uint32_t { return m_remaining; }
 
 private:
-    std::uint32_t m_left;
+    std::uint32_t m_remaining;
     std::uint32_t m_sent = 0;
     bool m_isRepeat;
 };
--- a/tests/retry/TestRetryLedger.cpp
+++ b/tests/retry/TestRetryLedger.cpp
@@ -77,12 +77,12 @@
     auto budget = CallBudget(3, false);
     cr_assert_eq(budget.startAttempt(true).retryBudget, 3);
     budget.didReceiveAnswer(2);
-    cr_assert_eq(budget.left(), 2);
+    cr_assert_eq(budget.remaining(), 2);
     budget.didReceiveAnswer(2);
-    cr_assert_eq(budget.left(), 2, "a second answer to one attempt returns nothing");
+    cr_assert_eq(budget.remaining(), 2, "a second answer to one attempt returns nothing");
     cr_assert_eq(budget.startAttempt(true).retryBudget, 2);
     budget.didReceiveAnswer(1000);
-    cr_assert_eq(budget.left(), 0, "a false claim returns nothing");
+    cr_assert_eq(budget.remaining(), 0, "a false claim returns nothing");
     cr_assert(!budget.trySpend());
 }
 
