--- a/include/stairspur/retry/RetryLedger.h
+++ b/include/stairspur/retry/RetryLedger.h
@@ -32,7 +32,7 @@
     [[nodiscard]] auto isRepeat(CallId call) const -> bool;
 
     /// Returns the remaining extra attempts of the call. Returns 0 for a call that is not open.
-    [[nodiscard]] auto left(CallId call) const -> std::uint32_t;
+    [[nodiscard]] auto remaining(CallId call) const -> std::uint32_t;
 
     /// Takes the share of a new deeper call from the remaining extra attempts of its parent: half of them, so that later
     /// siblings get some too.
@@ -54,9 +54,9 @@
 private:
     struct Account
     {
-        std::uint32_t left = 0;
+        std::uint32_t remaining = 0;
         std::uint32_t taken =
-                0; ///< Sum of the shares that were not returned. left + taken never grows.
+                0; ///< Sum of the shares that were not returned. remaining + taken never grows.
         bool isRepeat = false;
     };
 
--- a/source/retry/RetryLedger.cpp
+++ b/source/retry/RetryLedger.cpp
@@ -23,10 +23,10 @@
     return it != m_accounts.end() && it->second.isRepeat;
 }
 
-auto RetryLedger::left(CallId call) const -> std::uint32_t
+auto RetryLedger::remaining(CallId call) const -> std::uint32_t
 {
     const auto it = m_accounts.find(call);
-    return it == m_accounts.end() ? 0 : it->second.left;
+    return it == m_accounts.end() ? 0 : it->second.remaining;
 }
 
 auto RetryLedger::takeShare(CallId parent) -> std::optional<std::uint32_t>
@@ -36,12 +36,12 @@
         return std::nullopt;
     auto &account = it->second;
     if (account.isRepeat) {
-        if (account.left == 0)
+        if (account.remaining == 0)
             return std::nullopt;
-        --account.left;
+        --account.remaining;
     }
-    const auto share = account.left - account.left / 2; // Half, rounded up.
-    account.left -= share;
+    const auto share = account.remaining - account.remaining / 2; // Half, rounded up.
+    account.remaining -= share;
     account.taken += share;
     return share;
 }
@@ -55,7 +55,7 @@
     if (unspent > account.taken)
         return;
     account.taken -= unspent;
-    account.left += unspent;
+    account.remaining += unspent;
 }
 
 auto RetryLedger::close(CallId call) -> std::uint32_t
@@ -63,9 +63,9 @@
     const auto it = m_accounts.find(call);
     if (it == m_accounts.end())
         return 0;
-    const auto left = it->second.left;
+    const auto remaining = it->second.remaining;
     m_accounts.erase(it);
-    return left;
+    return remaining;
 }
 
 } // namespace stairspur::retry
--- a/tests/measure/retry/Main.cpp
+++ b/tests/measure/retry/Main.cpp
@@ -11,7 +11,7 @@
 using namespace stairspur;
 using namespace stairspur::retry;
 
-/// A ledger in which each deeper call takes `Share(left)`.
+/// A ledger in which each deeper call takes `Share(remaining)`.
 template <std::uint32_t (*Share)(std::uint32_t)>
 class VariantLedger
 {
@@ -24,34 +24,34 @@
     auto takeShare(CallId parent) -> std::optional<std::uint32_t>
     {
         auto &account = m_accounts[parent];
-        if (account.isRepeat && account.left == 0)
+        if (account.isRepeat && account.remaining == 0)
             return std::nullopt;
-        account.left -= account.isRepeat ? 1 : 0;
-        const auto share = Share(account.left);
-        account.left -= share;
+        account.remaining -= account.isRepeat ? 1 : 0;
+        const auto share = Share(account.remaining);
+        account.remaining -= share;
         return share;
     }
     auto giveBack(CallId parent, std::uint32_t unspent) -> void
     {
-        m_accounts[parent].left += unspent;
+        m_accounts[parent].remaining += unspent;
     }
     auto close(CallId call) -> std::uint32_t
     {
-        const auto left = m_accounts[call].left;
+        const auto remaining = m_accounts[call].remaining;
         m_accounts.erase(call);
-        return left;
+        return remaining;
     }
 
 private:
     struct Account
     {
-        std::uint32_t left = 0;
+        std::uint32_t remaining = 0;
         bool isRepeat = false;
     };
     std::unordered_map<CallId, Account> m_accounts;
 };
 
-/// A budget of an entry that sends `Sent(left)` with each attempt. With `SkipsLeaves`, attempts at services without deeper
+/// A budget of an entry that sends `Sent(remaining)` with each attempt. With `SkipsLeaves`, attempts at services without deeper
 /// calls carry nothing.
 template <std::uint32_t (*Sent)(std::uint32_t), bool SkipsLeaves = false>
 class VariantBudget
@@ -88,34 +88,34 @@
     bool m_isRepeat;
 };
 
-static auto all(std::uint32_t left) -> std::uint32_t
+static auto all(std::uint32_t remaining) -> std::uint32_t
 {
-    return left;
+    return remaining;
 }
 
-static auto none(std::uint32_t /*left*/) -> std::uint32_t
+static auto none(std::uint32_t /*remaining*/) -> std::uint32_t
 {
     return 0;
 }
 
-static auto halfRoundedUp(std::uint32_t left) -> std::uint32_t
+static auto halfRoundedUp(std::uint32_t remaining) -> std::uint32_t
 {
-    return left - left / 2;
+    return remaining - remaining / 2;
 }
 
-static auto threeQuartersRoundedUp(std::uint32_t left) -> std::uint32_t
+static auto threeQuartersRoundedUp(std::uint32_t remaining) -> std::uint32_t
 {
-    return left - left / 4;
+    return remaining - remaining / 4;
 }
 
-static auto allButOne(std::uint32_t left) -> std::uint32_t
+static auto allButOne(std::uint32_t remaining) -> std::uint32_t
 {
-    return left > 0 ? left - 1 : 0;
+    return remaining > 0 ? remaining - 1 : 0;
 }
 
-static auto allButOneOfTwo(std::uint32_t left) -> std::uint32_t
+static auto allButOneOfTwo(std::uint32_t remaining) -> std::uint32_t
 {
-    return left > 1 ? left - 1 : left;
+    return remaining > 1 ? remaining - 1 : remaining;
 }
 
 static constexpr GraphShape Shapes[] = {{10, 1}, {3, 4}, {5, 2}};
--- a/tests/retry/TestRetryLedger.cpp
+++ b/tests/retry/TestRetryLedger.cpp
@@ -17,14 +17,14 @@
         std::uint32_t budget;
         std::uint32_t first;
         std::uint32_t second;
-        std::uint32_t left;
+        std::uint32_t remaining;
     } cases[] = {{0, 0, 0, 0}, {1, 1, 0, 0}, {2, 1, 1, 0}, {3, 2, 1, 0}, {10, 5, 3, 2}};
     for (const auto &it : cases) {
         auto ledger = RetryLedger();
         ledger.open(7, it.budget);
         cr_assert_eq(ledger.takeShare(7).value(), it.first, "budget %u", it.budget);
         cr_assert_eq(ledger.takeShare(7).value(), it.second, "budget %u", it.budget);
-        cr_assert_eq(ledger.close(7), it.left, "budget %u", it.budget);
+        cr_assert_eq(ledger.close(7), it.remaining, "budget %u", it.budget);
     }
 }
 
@@ -45,7 +45,7 @@
     ledger.open(1, 4);
     ledger.takeShare(1);
     ledger.giveBack(1, 4'000'000'000U);
-    cr_assert_eq(ledger.left(1), 2, "a false claim returns nothing");
+    cr_assert_eq(ledger.remaining(1), 2, "a false claim returns nothing");
     ledger.giveBack(1, 2);
     ledger.giveBack(1, 1);
     cr_assert_eq(ledger.close(1), 4);
