--- a/include/stairspur/retry/CallBudget.h
+++ b/include/stairspur/retry/CallBudget.h
@@ -42,7 +42,7 @@
     /// extra attempts remain.
     auto trySpend() -> bool;
 
-    /// Returns the remaining extra attempts: an input of decideRetry(), and of RetryLedger::giveBack() once the call has
+    /// Returns the remaining extra attempts: an input of decideRetry(), and of RetryLedger::returnUnspent() once the call has
     /// ended.
     [[nodiscard]] auto remaining() const -> std::uint32_t { return m_remaining; }
 
--- a/include/stairspur/retry/RetryLedger.h
+++ b/include/stairspur/retry/RetryLedger.h
@@ -43,7 +43,7 @@
 
     /// Returns the `unspent` part of the share of an ended deeper call to its parent. The part
     /// that an attempt with a lost answer carried is not returned, and a claim of more than was taken returns nothing.
-    auto giveBack(CallId parent, std::uint32_t unspent) -> void;
+    auto returnUnspent(CallId parent, std::uint32_t unspent) -> void;
 
     /// Removes an ended call and returns its remaining extra attempts, which are sent with its answer.
     auto close(CallId call) -> std::uint32_t;
--- a/source/node/RunningCalls.cpp
+++ b/source/node/RunningCalls.cpp
@@ -42,7 +42,7 @@
         return;
     it->second.children.erase(child);
     it->second.hasFailedChild = it->second.hasFailedChild || !isAnswered;
-    m_ledger.giveBack(parent, unspent);
+    m_ledger.returnUnspent(parent, unspent);
 }
 
 auto RunningCalls::close(CallId id) -> ClosedCall
--- a/source/retry/RetryLedger.cpp
+++ b/source/retry/RetryLedger.cpp
@@ -46,7 +46,7 @@
     return share;
 }
 
-auto RetryLedger::giveBack(CallId parent, std::uint32_t unspent) -> void
+auto RetryLedger::returnUnspent(CallId parent, std::uint32_t unspent) -> void
 {
     const auto it = m_accounts.find(parent);
     if (it == m_accounts.end())
--- a/tests/measure/overload/Host.h
+++ b/tests/measure/overload/Host.h
@@ -173,7 +173,7 @@
         if (it == m_calls.end())
             return;
         it->second.deeper.reset();
-        m_ledger.giveBack(id, result.unspent);
+        m_ledger.returnUnspent(id, result.unspent);
         if (result.outcome == Outcome::Answered)
             complete(id, Completion::Succeeded, Outcome::Answered, Reason::None);
         else
--- a/tests/measure/retry/Main.cpp
+++ b/tests/measure/retry/Main.cpp
@@ -31,7 +31,7 @@
         account.remaining -= share;
         return share;
     }
-    auto giveBack(CallId parent, std::uint32_t unspent) -> void
+    auto returnUnspent(CallId parent, std::uint32_t unspent) -> void
     {
         m_accounts[parent].remaining += unspent;
     }
--- a/tests/retry/GraphDriver.h
+++ b/tests/retry/GraphDriver.h
@@ -162,13 +162,13 @@
             budgets.emplace_back(*share, m_ledger.isRepeat(parent));
             if (!m_losses.isParallel) {
                 isSuccess = sendUntilFinal(children[n], budgets.back());
-                m_ledger.giveBack(parent, budgets.back().remaining());
+                m_ledger.returnUnspent(parent, budgets.back().remaining());
                 budgets.clear();
             }
         }
         for (std::size_t n = 0; n < budgets.size(); ++n) {
             isSuccess = sendUntilFinal(children[n], budgets[n]) && isSuccess;
-            m_ledger.giveBack(parent, budgets[n].remaining());
+            m_ledger.returnUnspent(parent, budgets[n].remaining());
         }
         return isSuccess;
     }
@@ -178,7 +178,7 @@
     auto returnShares(CallId parent, const std::vector<Budget> &budgets) -> bool
     {
         for (const auto &it : budgets)
-            m_ledger.giveBack(parent, it.remaining());
+            m_ledger.returnUnspent(parent, it.remaining());
         return false;
     }
 
--- a/tests/retry/TestRetryLedger.cpp
+++ b/tests/retry/TestRetryLedger.cpp
@@ -34,7 +34,7 @@
     cr_assert(!ledger.isOpen(1));
     cr_assert(!ledger.isRepeat(1));
     cr_assert(!ledger.takeShare(1));
-    ledger.giveBack(1, 5);
+    ledger.returnUnspent(1, 5);
     cr_assert(!ledger.isOpen(1));
     cr_assert_eq(ledger.close(1), 0);
 }
@@ -44,10 +44,10 @@
     auto ledger = RetryLedger();
     ledger.open(1, 4);
     ledger.takeShare(1);
-    ledger.giveBack(1, 4'000'000'000U);
+    ledger.returnUnspent(1, 4'000'000'000U);
     cr_assert_eq(ledger.remaining(1), 2, "a false claim returns nothing");
-    ledger.giveBack(1, 2);
-    ledger.giveBack(1, 1);
+    ledger.returnUnspent(1, 2);
+    ledger.returnUnspent(1, 1);
     cr_assert_eq(ledger.close(1), 4);
 }
 
