--- a/include/stairspur/retry/RetryDemand.h
+++ b/include/stairspur/retry/RetryDemand.h
@@ -17,7 +17,7 @@
 {
 public:
     /// Records that a call of this precedence needs a retry, whether or not it gets one.
-    auto didWant(Level precedence) -> void;
+    auto recordDemand(Level precedence) -> void;
 
     /// Updates the floor from the demand recorded since the last update, `elapsed` ago.
     ///
--- a/include/stairspur/retry/RetryTokenBucket.h
+++ b/include/stairspur/retry/RetryTokenBucket.h
@@ -55,7 +55,7 @@
     auto tryTake() -> bool;
 
     /// Records that a call of this precedence needs a token, whether or not it gets one.
-    auto didWant(Level precedence) -> void { m_demand.didWant(precedence); }
+    auto recordDemand(Level precedence) -> void { m_demand.recordDemand(precedence); }
 
     /// Returns whether there is a token that a call of this precedence may take.
     [[nodiscard]] auto hasTokenFor(Level precedence) const -> bool;
--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -306,7 +306,7 @@
     if (!m_protocol)
         return routes.bucket.tokens() >= 1.0;
     const auto precedence = retry::retryPrecedence(request.level, request.callsLeft);
-    routes.bucket.didWant(precedence);
+    routes.bucket.recordDemand(precedence);
     return routes.bucket.hasTokenFor(precedence);
 }
 
--- a/source/retry/RetryDemand.cpp
+++ b/source/retry/RetryDemand.cpp
@@ -21,7 +21,7 @@
     return static_cast<double>(time.count()) / 1e6;
 }
 
-auto RetryDemand::didWant(Level precedence) -> void
+auto RetryDemand::recordDemand(Level precedence) -> void
 {
     m_recentDemand[std::min<std::size_t>(precedence.value, LevelCount - 1)] += 1.0F;
     m_isIdle = false;
--- a/tests/retry/TestRetryLedger.cpp
+++ b/tests/retry/TestRetryLedger.cpp
@@ -123,7 +123,7 @@
         const auto level = makeLevel(0, hash);
         bucket.didPassTime(TimePoint{Duration{n * 1000}});
         bucket.didRequest();
-        bucket.didWant(level);
+        bucket.recordDemand(level);
         const auto isGranted = bucket.hasTokenFor(level);
         if (isGranted)
             bucket.tryTake();
@@ -143,7 +143,7 @@
     cr_assert(bucket.tryTake());
     auto now = TimePoint{Duration{1'000'000}};
     for (auto n = 0; n < 1000; ++n) {
-        bucket.didWant(makeLevel(0, 127));
+        bucket.recordDemand(makeLevel(0, 127));
         bucket.didPassTime(now += Duration{1000});
     }
     cr_assert_gt(bucket.floor(), makeLevel(0, 0));
--- a/tests/retry/TestRetryPrecedence.cpp
+++ b/tests/retry/TestRetryPrecedence.cpp
@@ -94,7 +94,7 @@
         const auto precedence = retryPrecedence(root.level, kind.calls - root.done);
         m_bucket.didRequest();
         while (isShedding() && randomUnit(m_random) < ShedRatio) {
-            m_bucket.didWant(precedence);
+            m_bucket.recordDemand(precedence);
             if (!m_bucket.hasTokenFor(precedence) || !m_bucket.tryTake())
                 return;
             ++m_retries;
