--- a/include/stairspur/retry/RetryDemand.h
+++ b/include/stairspur/retry/RetryDemand.h
@@ -22,7 +22,7 @@
     /// Updates the floor from the demand recorded since the last update, `elapsed` ago.
     ///
     /// `tokens`: tokens available now. `tokensPerSecond`: the rate at which tokens are added.
-    auto didPassTime(Duration elapsed, double tokens, double tokensPerSecond) -> void;
+    auto updateFloor(Duration elapsed, double tokens, double tokensPerSecond) -> void;
 
     /// Returns the lowest precedence that may retry.
     [[nodiscard]] auto floor() const -> Level { return m_floor; }
--- a/source/retry/RetryDemand.cpp
+++ b/source/retry/RetryDemand.cpp
@@ -27,7 +27,7 @@
     m_isIdle = false;
 }
 
-auto RetryDemand::didPassTime(Duration elapsed, double tokens, double tokensPerSecond) -> void
+auto RetryDemand::updateFloor(Duration elapsed, double tokens, double tokensPerSecond) -> void
 {
     if (m_isIdle || elapsed <= Duration::zero())
         return;
--- a/source/retry/RetryTokenBucket.cpp
+++ b/source/retry/RetryTokenBucket.cpp
@@ -47,7 +47,7 @@
         return;
     m_refilledAt = m_now;
     refill(elapsed);
-    m_demand.didPassTime(elapsed, m_tokens, m_tokensPerSecond);
+    m_demand.updateFloor(elapsed, m_tokens, m_tokensPerSecond);
 }
 
 auto RetryTokenBucket::refill(Duration elapsed) -> void
