--- a/include/stairspur/retry/RetryTokenBucket.h
+++ b/include/stairspur/retry/RetryTokenBucket.h
@@ -44,7 +44,7 @@
     auto setLimits(const BucketLimits &limits) -> void;
 
     /// Sets the time of the events recorded from now on, and adds the tokens that the elapsed time allows.
-    auto didPassTime(TimePoint now) -> void;
+    auto advanceTo(TimePoint now) -> void;
 
     /// Records a request to the service.
     auto didRequest() -> void;
--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -215,7 +215,7 @@
 auto Entry::attemptUntilFinal(const IncomingCall &call, ServiceRoutes &routes, Attempts &attempts,
                               const CancellationPtr &cancellation) -> Task<CallAnswer>
 {
-    routes.bucket.didPassTime(monotonicNow());
+    routes.bucket.advanceTo(monotonicNow());
     routes.bucket.didRequest();
     while (true) {
         const auto now = monotonicNow();
@@ -295,7 +295,7 @@
     attempts.hasArrived = attempts.hasArrived || answer.outcome != Outcome::NotRun
                           || answer.reason == Reason::BackendShed;
     m_metrics.didEndAttempt(answer.outcome, answer.reason);
-    routes.bucket.didPassTime(now);
+    routes.bucket.advanceTo(now);
     if (answer.outcome == Outcome::Answered)
         routes.bucket.didSucceed();
     attempts.last = std::move(answer);
--- a/source/retry/RetryTokenBucket.cpp
+++ b/source/retry/RetryTokenBucket.cpp
@@ -39,7 +39,7 @@
     m_tokens = std::min(m_tokens, capacity());
 }
 
-auto RetryTokenBucket::didPassTime(TimePoint now) -> void
+auto RetryTokenBucket::advanceTo(TimePoint now) -> void
 {
     m_now = std::max(m_now, now);
     const auto elapsed = m_now - m_refilledAt;
--- a/tests/retry/TestRetryLedger.cpp
+++ b/tests/retry/TestRetryLedger.cpp
@@ -121,7 +121,7 @@
     for (auto n = 0; n < 20'000; ++n) {
         const auto hash = static_cast<std::uint16_t>(randomBelow(random, Levels));
         const auto level = makeLevel(0, hash);
-        bucket.didPassTime(TimePoint{Duration{n * 1000}});
+        bucket.advanceTo(TimePoint{Duration{n * 1000}});
         bucket.didRequest();
         bucket.recordDemand(level);
         const auto isGranted = bucket.hasTokenFor(level);
@@ -144,12 +144,12 @@
     auto now = TimePoint{Duration{1'000'000}};
     for (auto n = 0; n < 1000; ++n) {
         bucket.recordDemand(makeLevel(0, 127));
-        bucket.didPassTime(now += Duration{1000});
+        bucket.advanceTo(now += Duration{1000});
     }
     cr_assert_gt(bucket.floor(), makeLevel(0, 0));
     for (auto n = 0; n < 5000; ++n) {
         bucket.didRequest();
-        bucket.didPassTime(now += Duration{1000});
+        bucket.advanceTo(now += Duration{1000});
     }
     cr_assert(bucket.hasTokenFor(LowestLevel));
 }
--- a/tests/retry/TestRetryPrecedence.cpp
+++ b/tests/retry/TestRetryPrecedence.cpp
@@ -50,7 +50,7 @@
     auto run() -> void
     {
         for (m_now = Start; m_now < Start + 20 * Second; m_now += Millisecond) {
-            m_bucket.didPassTime(m_now);
+            m_bucket.advanceTo(m_now);
             for (auto index = std::size_t{0}; index < m_kinds.size(); ++index)
                 arrive(index);
             while (!m_roots.empty() && m_roots.top().nextAt <= m_now) {
--- a/tests/retry/TestRetryWindow.cpp
+++ b/tests/retry/TestRetryWindow.cpp
@@ -97,7 +97,7 @@
     auto history = History();
     for (auto now = Start; now < Start + Second * 18; now += Step) {
         const auto isFault = now >= Start + Window;
-        bucket.didPassTime(now);
+        bucket.advanceTo(now);
         if (!isFault || now.time_since_epoch() % (5 * Step) == Duration::zero()) {
             bucket.didRequest();
             history.requests.push_back(now);
@@ -129,13 +129,13 @@
 Test(RetryTokenBucket, repeatsOfTheCallAboveAreCountedInTheWindow)
 {
     auto bucket = RetryTokenBucket({0, Share, Slack, Window});
-    bucket.didPassTime(Start);
+    bucket.advanceTo(Start);
     for (auto n = 0; n < 100; ++n)
         bucket.didRequest();
     for (auto n = 0; n < 23; ++n)
         bucket.didRepeat();
     for (auto now = Start; now < Start + Second * 9; now += Second / 10) {
-        bucket.didPassTime(now);
+        bucket.advanceTo(now);
         cr_assert(!bucket.tryTake(), "the repeats have used the whole allowance");
     }
 }
