--- a/include/stairspur/retry/RetryTokenBucket.h
+++ b/include/stairspur/retry/RetryTokenBucket.h
@@ -62,7 +62,7 @@
 
     /// Takes a token for a call that was sent as a repeat because the call above it is one. Such a call cannot be refused,
     /// so the number of tokens may become negative.
-    auto didRepeat() -> void;
+    auto chargeRepeat() -> void;
 
     /// Returns the lowest precedence that may take a token.
     [[nodiscard]] auto floor() const -> Level { return m_demand.floor(); }
--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -280,7 +280,7 @@
     request.retryBudget = share.retryBudget;
     request.isRepeat = share.isRepeat || (m_protocol && attempts.hasArrived);
     if (m_protocol && share.isRepeat && !attempts.hasArrived)
-        routes.bucket.didRepeat();
+        routes.bucket.chargeRepeat();
     ++attempts.sent;
     routes.pool.didSend(node, start);
     auto answer = co_await m_peers.call(node, std::move(request), cancellation);
--- a/source/retry/RetryTokenBucket.cpp
+++ b/source/retry/RetryTokenBucket.cpp
@@ -104,7 +104,7 @@
     return true;
 }
 
-auto RetryTokenBucket::didRepeat() -> void
+auto RetryTokenBucket::chargeRepeat() -> void
 {
     m_tokens = std::max(m_tokens - OneToken, -MaxDebtInSizes * m_limits.size);
     if (m_window)
--- a/tests/retry/TestRetryLedger.cpp
+++ b/tests/retry/TestRetryLedger.cpp
@@ -105,7 +105,7 @@
 {
     auto bucket = RetryTokenBucket(BucketLimits{0, 1.0, 2});
     for (auto n = 0; n < 5; ++n)
-        bucket.didRepeat();
+        bucket.chargeRepeat();
     for (auto n = 0; n < 3; ++n)
         bucket.didRequest();
     cr_assert(!bucket.tryTake(),
--- a/tests/retry/TestRetryWindow.cpp
+++ b/tests/retry/TestRetryWindow.cpp
@@ -133,7 +133,7 @@
     for (auto n = 0; n < 100; ++n)
         bucket.didRequest();
     for (auto n = 0; n < 23; ++n)
-        bucket.didRepeat();
+        bucket.chargeRepeat();
     for (auto now = Start; now < Start + Second * 9; now += Second / 10) {
         bucket.advanceTo(now);
         cr_assert(!bucket.tryTake(), "the repeats have used the whole allowance");
