--- a/include/stairspur/retry/RetryLedger.h
+++ b/include/stairspur/retry/RetryLedger.h
@@ -41,8 +41,8 @@
     /// below a repeat costs one.
     auto takeShare(CallId parent) -> std::optional<std::uint32_t>;
 
-    /// Returns the `unspent` part of the share of an ended deeper call to its parent. The part
-    /// that an attempt with a lost answer carried is not returned, and a claim of more than was taken returns nothing.
+    /// Returns the `unspent` part of the share of an ended deeper call to its parent. The part that an attempt
+    /// with a lost answer carried is not returned, and a claim of more than was taken returns nothing.
     auto returnUnspent(CallId parent, std::uint32_t unspent) -> void;
 
     /// Removes an ended call and returns its remaining extra attempts, which are sent with its answer.
@@ -55,8 +55,7 @@
     struct Account
     {
         std::uint32_t remaining = 0;
-        std::uint32_t taken =
-                0; ///< Sum of the shares that were not returned. remaining + taken never grows.
+        std::uint32_t taken = 0; ///< Shares that were not returned. remaining + taken never grows.
         bool isRepeat = false;
     };
 
--- a/include/stairspur/retry/RetryPolicy.h
+++ b/include/stairspur/retry/RetryPolicy.h
@@ -36,7 +36,7 @@
 inline constexpr std::uint32_t MaxElsewhereTries = 8;
 
 /// Returns what to do after an attempt. A call that is not idempotent is sent again only after a proven `not-run`.
-auto decideRetry(const EndedAttempt &end) -> RetryDecision;
+auto decideRetry(const EndedAttempt &attempt) -> RetryDecision;
 
 } // namespace stairspur::retry
 
--- a/source/retry/RetryPolicy.cpp
+++ b/source/retry/RetryPolicy.cpp
@@ -31,20 +31,21 @@
 }
 
 /// Returns whether the call may run again: it is idempotent, or it has provably not run.
-static auto mayRunAgain(const EndedAttempt &end) -> bool
+static auto mayRunAgain(const EndedAttempt &attempt) -> bool
 {
-    return end.isIdempotent || end.outcome == Outcome::NotRun;
+    return attempt.isIdempotent || attempt.outcome == Outcome::NotRun;
 }
 
-auto decideRetry(const EndedAttempt &end) -> RetryDecision
+auto decideRetry(const EndedAttempt &attempt) -> RetryDecision
 {
-    if (end.outcome == Outcome::Answered || isFinal(end.reason))
+    if (attempt.outcome == Outcome::Answered || isFinal(attempt.reason))
         return RetryDecision::GiveUp;
-    if (end.remaining <= Duration::zero() || end.remaining < end.expectedLatency)
+    if (attempt.remaining <= Duration::zero() || attempt.remaining < attempt.expectedLatency)
         return RetryDecision::GiveUp;
-    if (end.outcome == Outcome::NotRun && !end.wasDispatched && !end.wasRefusedByBackend)
+    if (attempt.outcome == Outcome::NotRun && !attempt.wasDispatched
+        && !attempt.wasRefusedByBackend)
         return RetryDecision::Elsewhere;
-    if (!mayRunAgain(end) || end.budget == 0 || !end.hasServiceToken)
+    if (!mayRunAgain(attempt) || attempt.budget == 0 || !attempt.hasServiceToken)
         return RetryDecision::GiveUp;
     return RetryDecision::Retry;
 }
