--- a/include/stairspur/retry/CallBudget.h
+++ b/include/stairspur/retry/CallBudget.h
@@ -22,8 +22,8 @@
 public:
     /// Creates the budget of one call.
     ///
-    /// `share`: the result of RetryLedger::takeShare(), or the whole budget of a root request. `isRepeat`: the result of
-    /// RetryLedger::isRepeat() for the parent.
+    /// `share`: the result of RetryLedger::takeShare(), or the whole budget of a root request. `isRepeat`: the result
+    /// of RetryLedger::isRepeat() for the parent.
     CallBudget(std::uint32_t share, bool isRepeat)
         : m_remaining(share)
         , m_isRepeat(isRepeat)
@@ -34,16 +34,16 @@
     /// `hasDeeperCalls`: whether the called service calls others according to the configured call paths.
     auto startAttempt(bool hasDeeperCalls) -> AttemptBudget;
 
-    /// Adds the extra attempts that the attempt's answer returns as `unspent`. An answer that claims more than the attempt
-    /// carried is invalid and returns nothing. Must not be called when the answer is lost.
+    /// Adds the extra attempts that the attempt's answer returns as `unspent`. An answer that claims more than the
+    /// attempt carried is invalid and returns nothing. Must not be called when the answer is lost.
     auto didReceiveAnswer(std::uint32_t unspent) -> void;
 
-    /// Spends one extra attempt to send the call again after an attempt that may have been dispatched. Returns false if no
-    /// extra attempts remain.
+    /// Spends one extra attempt to send the call again after an attempt that may have been dispatched. Returns false if
+    /// no extra attempts remain.
     auto trySpend() -> bool;
 
-    /// Returns the remaining extra attempts: an input of decideRetry(), and of RetryLedger::returnUnspent() once the call has
-    /// ended.
+    /// Returns the remaining extra attempts: an input of decideRetry(), and of RetryLedger::returnUnspent() once the
+    /// call has ended.
     [[nodiscard]] auto remaining() const -> std::uint32_t { return m_remaining; }
 
 private:
--- a/include/stairspur/retry/RetryLedger.h
+++ b/include/stairspur/retry/RetryLedger.h
@@ -11,8 +11,8 @@
 /// token bucket per service at each entry.
 namespace stairspur::retry {
 
-/// The extra attempts that each running call and its deeper calls may still make. It is kept by the gate that dispatched
-/// the call, since the entry of the same host receives every deeper call.
+/// The extra attempts that each running call and its deeper calls may still make. It is kept by the gate that
+/// dispatched the call, since the entry of the same host receives every deeper call.
 ///
 /// Over the whole call graph: dispatches <= calls of the graph + budget of the root. To guarantee this, every dispatch
 /// of a call after its first one costs one extra attempt, including the deeper calls that a repeated run makes again.
@@ -21,8 +21,8 @@
 public:
     /// Records that a call was dispatched with `budget` extra attempts for its deeper calls.
     ///
-    /// `isRepeat`: an earlier attempt at the call, or at a call above it, may have run, so its deeper calls may have been
-    /// dispatched already.
+    /// `isRepeat`: an earlier attempt at the call, or at a call above it, may have run, so its deeper calls may have
+    /// been dispatched already.
     auto open(CallId call, std::uint32_t budget, bool isRepeat = false) -> void;
 
     /// Returns whether the call is still running here.
@@ -34,8 +34,8 @@
     /// Returns the remaining extra attempts of the call. Returns 0 for a call that is not open.
     [[nodiscard]] auto remaining(CallId call) const -> std::uint32_t;
 
-    /// Takes the share of a new deeper call from the remaining extra attempts of its parent: half of them, so that later
-    /// siblings get some too.
+    /// Takes the share of a new deeper call from the remaining extra attempts of its parent: half of them, so that
+    /// later siblings get some too.
     ///
     /// Returns nothing if the parent is not open, or if it is a repeat without remaining extra attempts: each dispatch
     /// below a repeat costs one.
--- a/include/stairspur/retry/RetryPrecedence.h
+++ b/include/stairspur/retry/RetryPrecedence.h
@@ -16,8 +16,8 @@
 /// `callsLeft`: calls of the same kind that the root request still has to make, including this one.
 ///
 /// The class is compared first. Within a class, requests with fewer calls left have precedence: each call left may need
-/// more retries, and the retries of a request that is not completed are wasted. The hash of the root is compared last, as
-/// in all other modules.
+/// more retries, and the retries of a request that is not completed are wasted. The hash of the root is compared last,
+/// as in all other modules.
 constexpr auto retryPrecedence(Level level, std::uint32_t callsLeft) -> Level
 {
     constexpr auto LevelsPerStep = HashesPerClass / MaxDistinctCallsLeft;
--- a/include/stairspur/retry/RetryTokenBucket.h
+++ b/include/stairspur/retry/RetryTokenBucket.h
@@ -15,8 +15,8 @@
     double successShare = 0; ///< Tokens that each success adds.
     double requestShare = 0; ///< Tokens that each request adds, regardless of its outcome.
     double size = 0;         ///< Maximum number of tokens in the bucket.
-    /// Length of the time window in which retries are limited to `requestShare` of the requests plus `size`. With 0, only
-    /// the tokens in the bucket limit retries.
+    /// Length of the time window in which retries are limited to `requestShare` of the requests plus `size`. With 0,
+    /// only the tokens in the bucket limit retries.
     Duration window{0};
 
     auto operator==(const BucketLimits &) const -> bool = default;
@@ -29,8 +29,8 @@
 /// seconds does not empty the bucket in the first one.
 ///
 /// While tokens are scarce, they are granted by precedence (see RetryPrecedence.h) down to a floor at which the demand
-/// equals the supply. Few root requests then get all the tokens that they need, instead of many that get one or two each
-/// and fail with another call.
+/// equals the supply. Few root requests then get all the tokens that they need, instead of many that get one or two
+/// each and fail with another call.
 class RetryTokenBucket
 {
 public:
@@ -40,7 +40,8 @@
         : RetryTokenBucket(BucketLimits{successShare, 0, size})
     {}
 
-    /// Replaces the limits after a change of the configuration or of the fleet size. Tokens above the new size are dropped.
+    /// Replaces the limits after a change of the configuration or of the fleet size. Tokens above the new size are
+    /// dropped.
     auto setLimits(const BucketLimits &limits) -> void;
 
     /// Sets the time of the events recorded from now on, and adds the tokens that the elapsed time allows.
@@ -60,8 +61,8 @@
     /// Returns whether there is a token that a call of this precedence may take.
     [[nodiscard]] auto hasTokenFor(Level precedence) const -> bool;
 
-    /// Takes a token for a call that was sent as a repeat because the call above it is one. Such a call cannot be refused,
-    /// so the number of tokens may become negative.
+    /// Takes a token for a call that was sent as a repeat because the call above it is one. Such a call cannot be
+    /// refused, so the number of tokens may become negative.
     auto chargeRepeat() -> void;
 
     /// Returns the lowest precedence that may take a token.
--- a/include/stairspur/retry/RetryWindow.h
+++ b/include/stairspur/retry/RetryWindow.h
@@ -13,8 +13,8 @@
 ///
 /// The share refers to the requests of the same span, of the span right before it or of the span half a window earlier,
 /// whichever are most: when a fault begins and requests decrease, the earlier traffic sets the limit. Time is divided
-/// into slots. The span in which retries are counted is one slot longer than the window, so that rounding to slots never
-/// allows too many retries.
+/// into slots. The span in which retries are counted is one slot longer than the window, so that rounding to slots
+/// never allows too many retries.
 class RetryWindow
 {
 public:
@@ -26,8 +26,8 @@
     /// Records a retry.
     auto didRetry(TimePoint now) -> void;
 
-    /// Returns the number of retries that are allowed now: the minimum over all spans that contain `now`. It is negative if
-    /// there were too many retries.
+    /// Returns the number of retries that are allowed now: the minimum over all spans that contain `now`. It is
+    /// negative if there were too many retries.
     ///
     /// `share`: allowed retries per request. `slack`: retries that are allowed in addition, in each span.
     [[nodiscard]] auto allowance(double share, double slack, TimePoint now) -> double;
@@ -49,7 +49,8 @@
     [[nodiscard]] auto at(std::int64_t slot) -> Slot &;
     [[nodiscard]] auto sumOf(std::uint32_t Slot::*count, std::int64_t first,
                              std::int64_t last) const -> double;
-    /// Return the sums over the slots after `first`, up to and including `last`. Slots that are no longer kept count as 0.
+    /// Return the sums over the slots after `first`, up to and including `last`. Slots that are no longer kept count as
+    /// 0.
     [[nodiscard]] auto requestsIn(std::int64_t first, std::int64_t last) const -> double;
     [[nodiscard]] auto retriesIn(std::int64_t first, std::int64_t last) const -> double;
 
--- a/source/retry/RetryPolicy.cpp
+++ b/source/retry/RetryPolicy.cpp
@@ -18,11 +18,11 @@
     case Reason::KeyUnknown:
     case Reason::KeyInProgress:
     case Reason::TooLarge:
-    // The deeper call has already been retried as often as allowed. Running this call again would repeat all of its deeper
-    // calls, and retries that multiply from level to level keep an overload going.
+    // The deeper call has already been retried as often as allowed. Running this call again would repeat all of its
+    // deeper calls, and retries that multiply from level to level keep an overload going.
     case Reason::DeeperCallFailed:
-    // Every gate of the service refuses the request. At a gate that has not received the quarantine yet, the request would
-    // crash the backend server.
+    // Every gate of the service refuses the request. At a gate that has not received the quarantine yet, the request
+    // would crash the backend server.
     case Reason::Quarantined:
         return true;
     default:
--- a/tests/measure/retry/Main.cpp
+++ b/tests/measure/retry/Main.cpp
@@ -51,8 +51,8 @@
     std::unordered_map<CallId, Account> m_accounts;
 };
 
-/// A budget of an entry that sends `Sent(remaining)` with each attempt. With `SkipsLeaves`, attempts at services without
-/// deeper calls carry nothing.
+/// A budget of an entry that sends `Sent(remaining)` with each attempt. With `SkipsLeaves`, attempts at services
+/// without deeper calls carry nothing.
 template <std::uint32_t (*Sent)(std::uint32_t), bool SkipsLeaves = false>
 class VariantBudget
 {
--- a/tests/retry/GraphDriver.h
+++ b/tests/retry/GraphDriver.h
@@ -173,8 +173,8 @@
         return isSuccess;
     }
 
-    /// Fails a repeat that has no extra attempt left for its next deeper call, and returns the shares of the deeper calls
-    /// that were not sent to the ledger.
+    /// Fails a repeat that has no extra attempt left for its next deeper call, and returns the shares of the deeper
+    /// calls that were not sent to the ledger.
     auto returnShares(CallId parent, const std::vector<Budget> &budgets) -> bool
     {
         for (const auto &it : budgets)
--- a/tests/retry/TestRetryPrecedence.cpp
+++ b/tests/retry/TestRetryPrecedence.cpp
@@ -132,8 +132,9 @@
 
 Test(RetryPrecedence, underRandomSheddingTokensAreGrantedToRootsThatComplete)
 {
-    // An order needs ten retries on average, and about 150 tokens per second are added for 40 orders and 110 views. With a
-    // floor that follows single calls only 0.117 of the orders are served, since most get a few tokens and then fail.
+    // An order needs ten retries on average, and about 150 tokens per second are added for 40 orders and 110 views.
+    // With a floor that follows single calls only 0.117 of the orders are served, since most get a few tokens and then
+    // fail.
     auto load = RandomShedding(
             {{.rank = 0, .perSecond = 40, .calls = 8, .callTime = 40 * Millisecond},
              {.rank = 2, .perSecond = 110, .calls = 4, .callTime = 40 * Millisecond}});
--- a/tests/retry/TestRetryWindow.cpp
+++ b/tests/retry/TestRetryWindow.cpp
@@ -88,8 +88,8 @@
     }
 }
 
-/// Returns the history of a service that gets one request every 2 ms for ten seconds. In the next eight seconds it fails
-/// so often that only one request arrives every 10 ms, and every allowed retry is made.
+/// Returns the history of a service that gets one request every 2 ms for ten seconds. In the next eight seconds it
+/// fails so often that only one request arrives every 10 ms, and every allowed retry is made.
 static auto historyWithFault(const BucketLimits &limits) -> History
 {
     static constexpr auto Step = Duration{2'000};
