--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -164,7 +164,7 @@
     else
         answer = co_await attemptUntilFinal(call, m_routes.of(call.request.service), attempts,
                                             cancellation);
-    answer.unspentBudget = attempts.budget.left();
+    answer.unspentBudget = attempts.budget.remaining();
     co_return answer;
 }
 
@@ -180,7 +180,7 @@
     request.isRepeat = share.isRepeat;
     auto answer = co_await m_keyedRouter.route(std::move(request), cancellation, isQuery);
     if (answer.outcome != Outcome::Unknown)
-        attempts.budget.didAnswer(answer.unspentBudget);
+        attempts.budget.didReceiveAnswer(answer.unspentBudget);
     co_return answer;
 }
 
@@ -208,14 +208,14 @@
     call.request = std::move(request);
     auto &routes = m_routes.of(call.request.service);
     auto answer = co_await attemptUntilFinal(call, routes, attempts, cancellation);
-    answer.unspentBudget = attempts.budget.left();
+    answer.unspentBudget = attempts.budget.remaining();
     co_return answer;
 }
 
 auto Entry::attemptUntilFinal(const IncomingCall &call, ServiceRoutes &routes, Attempts &attempts,
                               const CancellationPtr &cancellation) -> Task<CallAnswer>
 {
-    routes.bucket.didPassTime(monotonicNow());
+    routes.bucket.advanceTo(monotonicNow());
     routes.bucket.didRequest();
     while (true) {
         const auto now = monotonicNow();
@@ -280,7 +280,7 @@
     request.retryBudget = share.retryBudget;
     request.isRepeat = share.isRepeat || (m_protocol && attempts.hasArrived);
     if (m_protocol && share.isRepeat && !attempts.hasArrived)
-        routes.bucket.didRepeat();
+        routes.bucket.chargeRepeat();
     ++attempts.sent;
     routes.pool.didSend(node, start);
     auto answer = co_await m_peers.call(node, std::move(request), cancellation);
@@ -289,13 +289,13 @@
                         call.request.level, call.request.floorPath()},
                        now, m_random);
     if (answer.outcome != Outcome::Unknown)
-        attempts.budget.didAnswer(answer.unspentBudget);
+        attempts.budget.didReceiveAnswer(answer.unspentBudget);
     attempts.mayHaveRun =
             attempts.mayHaveRun || answer.wasDispatched || answer.outcome == Outcome::Unknown;
     attempts.hasArrived = attempts.hasArrived || answer.outcome != Outcome::NotRun
                           || answer.reason == Reason::BackendShed;
     m_metrics.didEndAttempt(answer.outcome, answer.reason);
-    routes.bucket.didPassTime(now);
+    routes.bucket.advanceTo(now);
     if (answer.outcome == Outcome::Answered)
         routes.bucket.didSucceed();
     attempts.last = std::move(answer);
@@ -306,27 +306,27 @@
     if (!m_protocol)
         return routes.bucket.tokens() >= 1.0;
     const auto precedence = retry::retryPrecedence(request.level, request.callsLeft);
-    routes.bucket.didWant(precedence);
+    routes.bucket.recordDemand(precedence);
     return routes.bucket.hasTokenFor(precedence);
 }
 
 auto Entry::nextStep(const IncomingCall &call, ServiceRoutes &routes,
                      const Attempts &attempts) const -> RetryDecision
 {
-    auto end = retry::AttemptEnd();
+    auto end = retry::EndedAttempt();
     end.outcome = attempts.last.outcome;
     end.reason = attempts.last.reason;
     end.wasDispatched = attempts.last.wasDispatched || attempts.last.outcome != Outcome::NotRun;
-    end.didArrive = m_protocol && wasShed(attempts);
+    end.wasRefusedByBackend = m_protocol && wasShed(attempts);
     end.isIdempotent = call.isIdempotent;
-    end.budget = end.didArrive ? 1 : attempts.budget.left();
+    end.budget = end.wasRefusedByBackend ? 1 : attempts.budget.remaining();
     end.hasServiceToken = true;
     end.remaining = call.deadline - monotonicNow();
     end.expectedLatency = routes.pool.expectedLatency();
     if (retry::decideRetry(end) == RetryDecision::Retry)
         end.hasServiceToken = hasToken(call.request, routes);
     const auto decision = retry::decideRetry(end);
-    const auto isUnrun = decision == RetryDecision::Elsewhere || end.didArrive;
+    const auto isUnrun = decision == RetryDecision::Elsewhere || end.wasRefusedByBackend;
     if (isUnrun && attempts.sent > retry::MaxElsewhereTries)
         return RetryDecision::GiveUp;
     return decision;
@@ -376,7 +376,7 @@
             .add("path_floor", decision.pathFloor.value)
             .add("path_floor_age_us", decision.pathFloorAge.value_or(Duration{-1}))
             .add("attempt", attempts.sent + 1)
-            .add("budget", attempts.budget.left());
+            .add("budget", attempts.budget.remaining());
 }
 
 auto Entry::noteRetryDecision(const IncomingCall &call, RetryDecision decision,
@@ -390,7 +390,7 @@
             .add("outcome", attempts.last.outcome)
             .add("reason", attempts.last.reason);
     addCall(line, call.request);
-    line.add("attempt", attempts.sent).add("budget", attempts.budget.left());
+    line.add("attempt", attempts.sent).add("budget", attempts.budget.remaining());
 }
 
 } // namespace stairspur::node
--- a/source/retry/RetryPolicy.cpp
+++ b/source/retry/RetryPolicy.cpp
@@ -2,7 +2,7 @@
 
 namespace stairspur::retry {
 
-/// Whether every upstream would answer the same, so that another one need not be asked.
+/// Returns whether every upstream would give the same answer, so that trying another one is useless.
 static auto isFinal(Reason reason) -> bool
 {
     switch (reason) {
@@ -18,10 +18,11 @@
     case Reason::KeyUnknown:
     case Reason::KeyInProgress:
     case Reason::TooLarge:
-    // The call below was sent again as often as it may be. To run this one anew would make all of its calls anew: retries
-    // that multiply from level to level are what keeps an overload going.
+    // The deeper call has already been retried as often as allowed. Running this call again would repeat all of its
+    // deeper calls, and retries that multiply from level to level keep an overload going.
     case Reason::DeeperCallFailed:
-    // Every gate of the service refuses it, and one that has not heard of it yet would lose its backend server.
+    // Every gate of the service refuses the request. At a gate that has not received the quarantine yet, the request
+    // would crash the backend server.
     case Reason::Quarantined:
         return true;
     default:
@@ -29,21 +30,22 @@
     }
 }
 
-/// Whether a second run can do no harm: the call may run twice, or it is proven that it has not run.
-static auto mayRunAgain(const AttemptEnd &end) -> bool
+/// Returns whether the call may run again: it is idempotent, or it has provably not run.
+static auto mayRunAgain(const EndedAttempt &attempt) -> bool
 {
-    return end.isIdempotent || end.outcome == Outcome::NotRun;
+    return attempt.isIdempotent || attempt.outcome == Outcome::NotRun;
 }
 
-auto decideRetry(const AttemptEnd &end) -> RetryDecision
+auto decideRetry(const EndedAttempt &attempt) -> RetryDecision
 {
-    if (end.outcome == Outcome::Answered || isFinal(end.reason))
+    if (attempt.outcome == Outcome::Answered || isFinal(attempt.reason))
         return RetryDecision::GiveUp;
-    if (end.remaining <= Duration::zero() || end.remaining < end.expectedLatency)
+    if (attempt.remaining <= Duration::zero() || attempt.remaining < attempt.expectedLatency)
         return RetryDecision::GiveUp;
-    if (end.outcome == Outcome::NotRun && !end.wasDispatched && !end.didArrive)
+    if (attempt.outcome == Outcome::NotRun && !attempt.wasDispatched
+        && !attempt.wasRefusedByBackend)
         return RetryDecision::Elsewhere;
-    if (!mayRunAgain(end) || end.budget == 0 || !end.hasServiceToken)
+    if (!mayRunAgain(attempt) || attempt.budget == 0 || !attempt.hasServiceToken)
         return RetryDecision::GiveUp;
     return RetryDecision::Retry;
 }
--- a/tests/measure/overload/Entry.h
+++ b/tests/measure/overload/Entry.h
@@ -178,7 +178,7 @@
         if (answer.report.sequence > 0)
             result.report = answer.report;
         m_pool.didEnd(result, now, m_random);
-        call->budget.didAnswer(answer.unspent);
+        call->budget.didReceiveAnswer(answer.unspent);
         if (answer.outcome == Outcome::Answered) {
             m_bucket.didSucceed();
             finish(call, {Outcome::Answered, Reason::None, Duration(0), 0});
@@ -200,10 +200,10 @@
             call.excluded.clear();
             return remaining > Duration(0) && call.plainRetries++ < traits.retriesPerHop;
         }
-        auto end =
-                retry::AttemptEnd{answer.outcome, answer.reason,           answer.wasDispatched,
-                                  true,           call.budget.left(),      m_bucket.tokens() >= 1.0,
-                                  remaining,      m_pool.expectedLatency()};
+        auto end = retry::EndedAttempt{
+                answer.outcome, answer.reason,           answer.wasDispatched,
+                true,           call.budget.remaining(), m_bucket.tokens() >= 1.0,
+                remaining,      m_pool.expectedLatency()};
         switch (retry::decideRetry(end)) {
         case retry::RetryDecision::Elsewhere:
             return call.elsewhereTries++ < retry::MaxElsewhereTries;
@@ -218,7 +218,7 @@
     auto finish(const CallPtr &call, CallResult result) -> void
     {
         call->hasEnded = true;
-        result.unspent = call->budget.left();
+        result.unspent = call->budget.remaining();
         const auto done = std::move(call->done);
         done(result);
     }
--- a/tests/measure/retry/Main.cpp
+++ b/tests/measure/retry/Main.cpp
@@ -1,5 +1,5 @@
-// Compares ways to divide the retry budget of a root request: share of requests that succeed, and dispatches beyond one
-// for each call, over the same seeded losses. Prints a Markdown table.
+// Compares ways to divide the retry budget of a root request under the same seeded losses: the share of requests that
+// succeed, and the dispatches per call. Prints Markdown tables.
 
 #include <cstdio>
 
@@ -11,7 +11,7 @@
 using namespace stairspur;
 using namespace stairspur::retry;
 
-/// A ledger whose deeper calls take `Share(left)`.
+/// A ledger in which each deeper call takes `Share(remaining)`.
 template <std::uint32_t (*Share)(std::uint32_t)>
 class VariantLedger
 {
@@ -24,97 +24,98 @@
     auto takeShare(CallId parent) -> std::optional<std::uint32_t>
     {
         auto &account = m_accounts[parent];
-        if (account.isRepeat && account.left == 0)
+        if (account.isRepeat && account.remaining == 0)
             return std::nullopt;
-        account.left -= account.isRepeat ? 1 : 0;
-        const auto share = Share(account.left);
-        account.left -= share;
+        account.remaining -= account.isRepeat ? 1 : 0;
+        const auto share = Share(account.remaining);
+        account.remaining -= share;
         return share;
     }
-    auto giveBack(CallId parent, std::uint32_t unspent) -> void
+    auto returnUnspent(CallId parent, std::uint32_t unspent) -> void
     {
-        m_accounts[parent].left += unspent;
+        m_accounts[parent].remaining += unspent;
     }
     auto close(CallId call) -> std::uint32_t
     {
-        const auto left = m_accounts[call].left;
+        const auto remaining = m_accounts[call].remaining;
         m_accounts.erase(call);
-        return left;
+        return remaining;
     }
 
 private:
     struct Account
     {
-        std::uint32_t left = 0;
+        std::uint32_t remaining = 0;
         bool isRepeat = false;
     };
     std::unordered_map<CallId, Account> m_accounts;
 };
 
-/// A budget at the entry that sends `Sent(left)` with each attempt.
-template <std::uint32_t (*Sent)(std::uint32_t), bool KnowsLeaves = false>
+/// A budget of an entry that sends `Sent(remaining)` with each attempt. With `SkipsLeaves`, attempts at services
+/// without deeper calls carry nothing.
+template <std::uint32_t (*Sent)(std::uint32_t), bool SkipsLeaves = false>
 class VariantBudget
 {
 public:
     VariantBudget(std::uint32_t share, bool isRepeat)
-        : m_left(share)
+        : m_remaining(share)
         , m_isRepeat(isRepeat)
     {}
     auto startAttempt(bool hasDeeperCalls) -> AttemptBudget
     {
-        m_sent = KnowsLeaves && !hasDeeperCalls ? 0 : Sent(m_left);
-        m_left -= m_sent;
+        m_sent = SkipsLeaves && !hasDeeperCalls ? 0 : Sent(m_remaining);
+        m_remaining -= m_sent;
         return {m_sent, m_isRepeat};
     }
-    auto didAnswer(std::uint32_t unspent) -> void
+    auto didReceiveAnswer(std::uint32_t unspent) -> void
     {
-        m_left += unspent <= m_sent ? unspent : 0;
+        m_remaining += unspent <= m_sent ? unspent : 0;
         m_sent = 0;
     }
     auto trySpend() -> bool
     {
-        if (m_left == 0)
+        if (m_remaining == 0)
             return false;
-        --m_left;
+        --m_remaining;
         m_isRepeat = true;
         return true;
     }
-    [[nodiscard]] auto left() const -> std::uint32_t { return m_left; }
+    [[nodiscard]] auto remaining() const -> std::uint32_t { return m_remaining; }
 
 private:
-    std::uint32_t m_left;
+    std::uint32_t m_remaining;
     std::uint32_t m_sent = 0;
     bool m_isRepeat;
 };
 
-static auto all(std::uint32_t left) -> std::uint32_t
+static auto all(std::uint32_t remaining) -> std::uint32_t
 {
-    return left;
+    return remaining;
 }
 
-static auto none(std::uint32_t /*left*/) -> std::uint32_t
+static auto none(std::uint32_t /*remaining*/) -> std::uint32_t
 {
     return 0;
 }
 
-static auto halfUp(std::uint32_t left) -> std::uint32_t
+static auto halfRoundedUp(std::uint32_t remaining) -> std::uint32_t
 {
-    return left - left / 2;
+    return remaining - remaining / 2;
 }
 
-static auto threeQuartersUp(std::uint32_t left) -> std::uint32_t
+static auto threeQuartersRoundedUp(std::uint32_t remaining) -> std::uint32_t
 {
-    return left - left / 4;
+    return remaining - remaining / 4;
 }
 
-static auto allButOne(std::uint32_t left) -> std::uint32_t
+static auto allButOne(std::uint32_t remaining) -> std::uint32_t
 {
-    return left > 0 ? left - 1 : 0;
+    return remaining > 0 ? remaining - 1 : 0;
 }
 
-static auto allButOneOfTwo(std::uint32_t left) -> std::uint32_t
+static auto allButOneOfTwo(std::uint32_t remaining) -> std::uint32_t
 {
-    return left > 1 ? left - 1 : left;
+    return remaining > 1 ? remaining - 1 : remaining;
 }
 
 static constexpr GraphShape Shapes[] = {{10, 1}, {3, 4}, {5, 2}};
@@ -132,7 +133,7 @@
             auto successes = 0;
             for (const auto &shape : Shapes) {
                 for (auto seed = 0; seed < Runs; ++seed) {
-                    // A third each: lost request, lost answer, failure.
+                    // Lost requests, lost answers and failures are a third of the losses each.
                     const auto losses = LossPattern{.lostRequest = loss / 3,
                                                     .lostAnswer = loss / 3,
                                                     .failure = loss / 3,
@@ -151,32 +152,33 @@
     std::printf(" %.4f |\n", extra / static_cast<double>(runs));
 }
 
-/// One table: deeper calls one after the other, or all at once.
+/// Prints one table, for deeper calls that run one after the other or in parallel.
 static auto printTable(bool isParallel) -> void
 {
     std::printf("\nDeeper calls %s; %d runs of each of %zu graphs.\n\n",
-                isParallel ? "all at once" : "one after the other", Runs, std::size(Shapes));
+                isParallel ? "in parallel" : "one after the other", Runs, std::size(Shapes));
     std::printf("| sent with an attempt; share of a deeper call | 1%%, B=1 | 1%%, B=3 | 1%%, B=10 "
                 "| 5%%, B=1 | 5%%, B=3 | 5%%, B=10 | dispatches per call |\n"
                 "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
-    printRow<RetryLedger, CallBudget>("stairspur as built", isParallel);
+    printRow<RetryLedger, CallBudget>("stairspur", isParallel);
     printRow<VariantLedger<none>, VariantBudget<none>>("none; none", isParallel);
-    printRow<VariantLedger<halfUp>, VariantBudget<halfUp>>("half, up; half, up", isParallel);
-    printRow<VariantLedger<halfUp>, VariantBudget<all>>("all; half, up", isParallel);
+    printRow<VariantLedger<halfRoundedUp>, VariantBudget<halfRoundedUp>>(
+            "half, rounded up; half, rounded up", isParallel);
+    printRow<VariantLedger<halfRoundedUp>, VariantBudget<all>>("all; half, rounded up", isParallel);
     printRow<VariantLedger<all>, VariantBudget<all>>("all; all", isParallel);
     printRow<VariantLedger<all>, VariantBudget<allButOne>>("all but one; all", isParallel);
     printRow<VariantLedger<all>, VariantBudget<allButOneOfTwo>>("all, but one of two or more; all",
                                                                 isParallel);
-    printRow<VariantLedger<threeQuartersUp>, VariantBudget<threeQuartersUp>>(
-            "three quarters, up; the same", isParallel);
+    printRow<VariantLedger<threeQuartersRoundedUp>, VariantBudget<threeQuartersRoundedUp>>(
+            "three quarters, rounded up; the same", isParallel);
     printRow<VariantLedger<all>, VariantBudget<all, true>>("none to a leaf, else all; all",
                                                            isParallel);
     printRow<VariantLedger<all>, VariantBudget<allButOneOfTwo, true>>(
             "none to a leaf, else all but one of two or more; all", isParallel);
-    printRow<VariantLedger<threeQuartersUp>, VariantBudget<all, true>>(
-            "none to a leaf, else all; three quarters, up", isParallel);
-    printRow<VariantLedger<halfUp>, VariantBudget<all, true>>("none to a leaf, else all; half, up",
-                                                              isParallel);
+    printRow<VariantLedger<threeQuartersRoundedUp>, VariantBudget<all, true>>(
+            "none to a leaf, else all; three quarters, rounded up", isParallel);
+    printRow<VariantLedger<halfRoundedUp>, VariantBudget<all, true>>(
+            "none to a leaf, else all; half, rounded up", isParallel);
 }
 
 auto main() -> int
