--- a/include/stairspur/admission/AdmissionController.h
+++ b/include/stairspur/admission/AdmissionController.h
@@ -11,68 +11,72 @@
 #include <stairspur/core/Random.h>
 #include <stairspur/core/Time.h>
 
-/// The gate's decisions: who runs, who waits, who is refused. Pure: time and randomness are handed in.
+/// Decides at the gate which calls run, which wait and which are refused. The module reads no clock and no random source
+/// of its own: the caller passes the time and the random numbers. All durations are in microseconds.
 namespace stairspur::admission {
 
+/// Settings of an AdmissionController.
 struct AdmissionSettings
 {
-    std::uint32_t maxQueue = 256;
-    std::uint32_t coldLimit = 4; ///< Limit of a backend server that has just started.
-    /// The backend server runs as many calls at once as it reports: the limit follows that number from the start on, a
-    /// little below it, and nothing is learnt.
+    std::uint32_t maxQueue = 256; ///< Upper bound of the waiting calls.
+    std::uint32_t coldLimit = 4;  ///< Limit of a backend server that has just started.
+    /// The limit is derived from the reported slots alone, from the start on, and stays a little below them. The outcome of
+    /// calls doesn't change it.
     bool trustsReportedSlots = false;
-    /// Upper bound of the limit, as the backend server reports it.
+    /// Calls that the backend server reports to run at once: the upper bound of the limit.
     std::uint32_t reportedSlots = 16;
-    Duration retryAfterBase{100'000}; ///< Retry-After of the mildest overload.
-    Duration retryAfterMax{10'000'000};
+    Duration retryAfterBase{100'000};   ///< Retry-After at the mildest overload.
+    Duration retryAfterMax{10'000'000}; ///< Upper bound of Retry-After.
 };
 
-/// A call that asks for a place.
+/// A call that requests a slot.
 struct CallOffer
 {
     CallId id = 0;
     Level level;
     TimePoint deadline;
     PathKey path = NoPath;
-    /// It belongs to a request that already runs: floors of deeper services do not refuse it any more.
+    /// Whether a running call makes it. Floors of deeper services no longer refuse such a call.
     bool hasBegun = false;
-    /// Calls of this class and path that its root request makes altogether.
+    /// Total of the calls of this class and path that its root request makes.
     std::uint32_t callsPerRoot = 1;
 
+    /// Returns the class and path by which costs are recorded.
     [[nodiscard]] auto kind() const -> FloorKey { return {level.rank(), path}; }
 
-    /// The floors that bind it. Those of deeper services bind a request only until it runs: after that they would
-    /// waste what it has cost.
+    /// Returns the class and path whose floors apply to the call. Path floors apply only until its root request runs:
+    /// a refusal after that would waste the work already done for the request.
     [[nodiscard]] auto floorKey() const -> FloorKey
     {
         return {level.rank(), hasBegun ? NoPath : path};
     }
 };
 
-/// A call that the controller has given up on. It gets its final answer at once.
+/// A call that the controller refuses. The gate sends its final answer at once.
 struct Refusal
 {
     CallId id = 0;
     Reason reason = Reason::None;
-    Duration retryAfter{0};
+    Duration retryAfter{0}; ///< Time after which the caller may retry.
 };
 
-/// What the gate has to do now.
+/// The decisions that follow from one event, for the gate to carry out now.
 struct Progress
 {
-    std::vector<CallId> dispatch; ///< Send these to the backend server.
-    std::vector<Refusal> refuse;  ///< Answer these `not-run`: none of them has been dispatched.
+    std::vector<CallId> dispatch; ///< Calls to send to the backend server.
+    std::vector<Refusal> refuse;  ///< Calls to answer with `not-run`; none of them was dispatched.
 };
 
-/// How a dispatched call ended, as far as the limit learns from it.
+/// The outcome of a dispatched call, as far as the limit depends on it.
 enum class Completion {
     Succeeded,
-    Failed, ///< An answer that tells of trouble, such as 5xx.
-    Shed,   ///< The backend server refused for overload.
+    Failed, ///< The answer reports an error, such as 5xx.
+    Shed,   ///< The backend server refused the call because of overload.
     TimedOut,
-    Cancelled, ///< Says nothing about the backend server.
+    Cancelled, ///< Gives no information about the backend server.
 };
 
+/// Admission control of one backend server: keeps the concurrency limit, the waiting queue and the floors.
 class AdmissionController
 {
 public:
@@ -83,44 +87,50 @@
     auto operator=(const AdmissionController &) -> AdmissionController & = delete;
     auto operator=(AdmissionController &&) noexcept -> AdmissionController &;
 
-    /// Takes a call, whose id names no other call here. It is among `dispatch` or `refuse`, or else it waits; lower calls may be refused in its favour.
+    /// Accepts a call, whose id is unique among the waiting and running calls. The call is among `dispatch` or `refuse`,
+    /// or else it waits. Calls of lower levels may be refused in its favour.
     auto offer(const CallOffer &offer, TimePoint now, Random &random) -> Progress;
 
-    /// A dispatched call has ended after `latency` at the backend server.
+    /// Records that a dispatched call ended after `latency` at the backend server.
     auto didComplete(CallId id, Completion completion, Duration latency, TimePoint now,
                      Random &random) -> Progress;
 
-    /// The caller is gone: a waiting call is dropped without a refusal. For a dispatched one call didComplete() too,
-    /// once the backend server has let go of it.
+    /// Records that the caller has closed the call. A waiting call is dropped without a refusal. For a dispatched call,
+    /// didComplete() must follow when the backend server has ended it.
     auto cancel(CallId id, TimePoint now, Random &random) -> Progress;
 
-    /// Refuses what can no longer be served in time. Call every few milliseconds while calls wait.
+    /// Refuses the waiting calls that can no longer finish before their deadlines. Must be called every few milliseconds
+    /// while calls wait.
     auto didPassTime(TimePoint now, Random &random) -> Progress;
 
-    /// The backend server reports another number of slots.
+    /// Sets the number of slots that the backend server reports.
     auto setReportedSlots(std::uint32_t slots) -> void;
 
-    /// Another bound for the calls that wait, from a newer configuration. Those above it leave with the next event.
+    /// Sets the bound of the waiting calls, as a newer configuration has it. Calls above the bound are refused at the
+    /// next event.
     auto setMaxQueue(std::uint32_t maxQueue) -> void;
 
-    /// Another backend server has taken the place of the former one, or it has restarted: the limit starts cold, and what
-    /// was learnt of its service time is forgotten. Calls that still run at the former one count until they end.
+    /// Records that the backend server was replaced or has restarted. The limit returns to its initial value, and the
+    /// measured service times are discarded. Calls that still run at the former process count until they end.
     auto didReplaceBackend() -> void;
 
-    /// The greatest floor of the deeper services, by class rank and by path, for the next reports and admissions. Tell it again at
-    /// least twice a second, changed or not: floors that nobody confirms lapse after one second.
+    /// Sets the greatest floors of the deeper services, by class rank and by path, for the next reports and admissions.
+    /// Must be called at least twice a second, also without a change: floors expire one second after the last call.
     auto setDeeperFloors(std::vector<Level> floors, std::vector<PathFloor> pathFloors = {}) -> void;
 
-    /// Refuses all calls that wait now. Later ones are offered as before.
+    /// Refuses all waiting calls. Later calls are admitted as before.
     auto refuseWaiting(Reason reason, TimePoint now, Random &random) -> Progress;
 
-    /// Refuses new and waiting calls from now on; running ones end.
+    /// Refuses all new and waiting calls from now on. Running calls continue to their end.
     auto startDraining(TimePoint now, Random &random) -> Progress;
 
+    /// Returns the number of running calls.
     [[nodiscard]] auto inFlight() const -> std::uint32_t;
+
+    /// Returns the number of waiting calls.
     [[nodiscard]] auto queued() const -> std::uint32_t;
 
-    /// What answers tell the entries. Each report has a greater sequence than the one before.
+    /// Returns the report that answers carry to the entries. Each report has a greater sequence than the one before.
     auto report(TimePoint now) -> LoadReport;
 
 private:
