--- a/source/admission/AdaptiveLimit.cpp
+++ b/source/admission/AdaptiveLimit.cpp
@@ -8,21 +8,24 @@
 
 constexpr auto DecreaseFactor = 0.8;
 
-/// A limit that is not used says nothing about a greater one.
+/// Share of the limit that must be in use before the limit grows. While less is in use, a successful call doesn't show
+/// that the backend server can run more calls than the limit.
 constexpr auto UsedShareForGrowth = 0.5;
 
-/// Single errors are the application's own. From this share of the answers on they are taken for trouble.
-constexpr auto FailureShareOfTrouble = 0.5;
+/// Share of failed answers from which on failures count as overload. Single errors are those of the application itself.
+constexpr auto FailureShareAtOverload = 0.5;
+/// Weight of one call in the share of failed answers.
 constexpr auto FailureWeight = 0.05;
 
-/// One slot in twenty stays free, rounded up. Measured on the users' platform: two overloaded backend servers of 20 slots
-/// answered 1.12 and 1.26 times as many calls in the same two seconds with 19; one that does not slow down loses a twentieth.
-constexpr auto SlotsPerFreeOne = 20U;
-/// Below this, one slot is worth more than what a slowdown takes.
-constexpr auto FewestSlotsToLeaveOneFree = 10U;
+/// One slot in twenty stays free, rounded up. Two overloaded backend servers of 20 slots answered 1.12 and 1.26 times as
+/// many calls in the same two seconds with 19 slots in use. A backend server that doesn't slow down loses a twentieth of
+/// its capacity.
+constexpr auto SlotsPerFreeSlot = 20U;
+/// Number of slots below which no slot stays free: one slot is then a larger share than a slowdown costs.
+constexpr auto MinSlotsForFreeSlot = 10U;
 
-/// Between two decreases the effect of the first has to show: a round of calls, and no less than this.
-constexpr auto ShortestRound = Duration(10'000);
+/// Minimum time between two decreases. The effect of the first becomes visible after one round of calls.
+constexpr auto MinDecreaseInterval = Duration(10'000);
 
 } // namespace
 
@@ -43,9 +46,9 @@
 
 auto AdaptiveLimit::slotsToUse(std::uint32_t slots) -> std::uint32_t
 {
-    if (slots < FewestSlotsToLeaveOneFree)
+    if (slots < MinSlotsForFreeSlot)
         return slots;
-    return slots - (slots + SlotsPerFreeOne - 1) / SlotsPerFreeOne;
+    return slots - (slots + SlotsPerFreeSlot - 1) / SlotsPerFreeSlot;
 }
 
 auto AdaptiveLimit::limit() const -> std::uint32_t
@@ -62,11 +65,11 @@
         m_slowStartEnd = m_slots;
 }
 
-auto AdaptiveLimit::didComplete(const Ended &ended, TimePoint now) -> void
+auto AdaptiveLimit::didComplete(const EndedCall &ended, TimePoint now) -> void
 {
     if (m_isFixed || ended.completion == Completion::Cancelled)
         return;
-    if (isTrouble(ended)) {
+    if (isOverload(ended)) {
         shrink(ended, now);
         return;
     }
@@ -74,7 +77,7 @@
         grow(ended.inFlight);
 }
 
-auto AdaptiveLimit::isTrouble(const Ended &ended) -> bool
+auto AdaptiveLimit::isOverload(const EndedCall &ended) -> bool
 {
     const auto failed = ended.completion == Completion::Failed ? 1.0 : 0.0;
     m_failureShare += (failed - m_failureShare) * FailureWeight;
@@ -82,10 +85,10 @@
     case Completion::Shed:
         return true;
     case Completion::TimedOut:
-        // A call that came with next to no time left says nothing about the backend server.
+        // The deadline of a call may leave less time than a call usually takes. Its timeout shows no overload.
         return ended.latency >= ended.serviceTime;
     case Completion::Failed:
-        return m_failureShare >= FailureShareOfTrouble;
+        return m_failureShare >= FailureShareAtOverload;
     case Completion::Succeeded:
     case Completion::Cancelled:
         break;
@@ -101,13 +104,13 @@
     m_limit = std::min(m_limit + step, m_slots);
 }
 
-auto AdaptiveLimit::shrink(const Ended &ended, TimePoint now) -> void
+auto AdaptiveLimit::shrink(const EndedCall &ended, TimePoint now) -> void
 {
-    if (now < m_mayShrinkFrom)
+    if (now < m_nextDecreaseAllowedAt)
         return;
     m_limit = std::max(m_limit * DecreaseFactor, 1.0);
     m_slowStartEnd = m_limit;
-    m_mayShrinkFrom = now + std::max(ended.serviceTime, ShortestRound);
+    m_nextDecreaseAllowedAt = now + std::max(ended.serviceTime, MinDecreaseInterval);
 }
 
 } // namespace stairspur::admission
--- a/source/admission/AdaptiveLimit.h
+++ b/source/admission/AdaptiveLimit.h
@@ -7,48 +7,48 @@
 
 namespace stairspur::admission {
 
-/// How many calls may run at once at the backend server: additive increase, multiplicative decrease (Chiu & Jain, 1989)
-/// with a slow start, always within 1 and the slots that the backend server reports.
+/// Limits the calls that run at once at the backend server, by additive increase and multiplicative decrease (Chiu & Jain,
+/// 1989) with a slow start. The limit is always between 1 and the slots that the backend server reports.
 class AdaptiveLimit
 {
 public:
     AdaptiveLimit(std::uint32_t coldLimit, std::uint32_t slots);
 
-    /// A limit that follows the number of slots and nothing else. It stays a little below, see slotsToUse().
+    /// Returns a limit that depends on the number of slots alone. It is a little below that number, see slotsToUse().
     static auto fixedFor(std::uint32_t slots) -> AdaptiveLimit;
 
-    /// The limit now, at least 1.
+    /// Returns the current limit, which is at least 1.
     [[nodiscard]] auto limit() const -> std::uint32_t;
 
-    /// Another number of slots. The limit falls at once when it is above.
+    /// Sets the number of slots. A limit above it falls to it at once.
     auto setSlots(std::uint32_t slots) -> void;
 
-    struct Ended
+    struct EndedCall
     {
         Completion completion = Completion::Succeeded;
         Duration latency{0};
-        Duration serviceTime{0};    ///< The mean before this call.
-        std::uint32_t inFlight = 0; ///< With this call.
+        Duration serviceTime{0};    ///< Mean before this call.
+        std::uint32_t inFlight = 0; ///< Running calls, including this one.
     };
 
-    /// A call ended.
-    auto didComplete(const Ended &ended, TimePoint now) -> void;
+    /// Records that a call ended, and adapts the limit.
+    auto didComplete(const EndedCall &ended, TimePoint now) -> void;
 
 private:
-    /// The slots of a backend server that are used at once. Some backend servers work slower when nearly all are taken,
-    /// by more than the last slots bring.
+    /// Returns how many slots of a backend server are used at once. Some backend servers slow down when nearly all slots
+    /// are in use, which costs more capacity than the last slots add.
     [[nodiscard]] static auto slotsToUse(std::uint32_t slots) -> std::uint32_t;
 
     auto grow(std::uint32_t inFlight) -> void;
-    auto shrink(const Ended &ended, TimePoint now) -> void;
-    [[nodiscard]] auto isTrouble(const Ended &ended) -> bool;
+    auto shrink(const EndedCall &ended, TimePoint now) -> void;
+    [[nodiscard]] auto isOverload(const EndedCall &ended) -> bool;
 
     bool m_isFixed = false;
     double m_limit;
     double m_slots;
-    double m_slowStartEnd; ///< Below this the limit doubles with each round of calls.
+    double m_slowStartEnd; ///< Limit below which it doubles with each round of calls.
     double m_failureShare = 0;
-    TimePoint m_mayShrinkFrom{};
+    TimePoint m_nextDecreaseAllowedAt{};
 };
 
 } // namespace stairspur::admission
--- a/source/admission/DeeperFloors.cpp
+++ b/source/admission/DeeperFloors.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Far above the time between two settings, far below what an operator would call an outage.
+/// Time after which floors expire. It is far above the time between two calls of set(), and far below the length of an
+/// outage that an operator would notice.
 constexpr auto Lifetime = Duration(1'000'000);
 
 } // namespace
@@ -20,16 +21,16 @@
     for (auto &it : floors)
         it = std::min(it, ClosedLevel);
     m_floors = std::move(floors);
-    m_firstSeen.reset();
+    m_firstUsedAt.reset();
 }
 
 auto DeeperFloors::didPassTime(TimePoint now) -> void
 {
     if (m_floors.empty() && m_pathFloors.empty())
         return;
-    if (!m_firstSeen)
-        m_firstSeen = now;
-    if (now - *m_firstSeen <= Lifetime)
+    if (!m_firstUsedAt)
+        m_firstUsedAt = now;
+    if (now - *m_firstUsedAt <= Lifetime)
         return;
     m_floors.clear();
     m_pathFloors.clear();
--- a/source/admission/FloorEstimator.h
+++ b/source/admission/FloorEstimator.h
@@ -11,87 +11,97 @@
 
 namespace stairspur::admission {
 
-/// The level from which on the gate can serve what comes: what it advertises, so that entries refuse the rest before any
-/// work. The order of the queue decides who is served; the gate itself refuses only what no entry should have sent.
+/// Estimates the floor: the lowest level from which on the gate can serve all calls that arrive. The gate reports it, so
+/// that entries refuse lower calls before any work is done. The order of the queue decides which calls are served; the
+/// gate itself refuses by the floor only calls that no entry should have sent.
 ///
-/// Like DAGOR (Zhou et al., SoCC 2018) it sums what the calls of each level ask for, and puts the floor where the levels above
-/// it bring as much as fits. Calls are weighed by the time for which their kind holds a place, since kinds differ by a
-/// factor of ten and more. What fits is the capacity, less what a long queue has to make up for, more what a short
-/// one may take in. Levels below the floor stay away, so their demand is extrapolated from their band or remembered.
+/// Like DAGOR (Zhou et al., SoCC 2018) it sums the demand of each level, and sets the floor so that the demand of the levels
+/// above it equals what fits. Calls are weighted by the time for which calls of their kind occupy a slot, since kinds
+/// differ by a factor of ten and more. What fits is the capacity, reduced while the queue is longer than its target and
+/// increased while it is shorter. Calls below the floor don't arrive, so the demand of those levels is extrapolated from
+/// their band or kept from earlier windows.
 ///
-/// All levels here are places in the serving order.
+/// All levels in this class are values of the serving order.
 class FloorEstimator
 {
 public:
-    /// What the gate sees now.
+    /// Current load of the gate.
     struct Load
     {
-        Duration wait{0};           ///< Of the calls that wait, until the last one is dispatched.
-        Duration targetWait{0};     ///< The queue that is wanted under overload.
-        std::uint32_t inFlight = 0; ///< Calls that run.
-        std::uint32_t limit = 1;    ///< Calls that may run.
-        std::optional<ServingOrder> lowestWaiting; ///< Of the calls that wait.
-        bool isWorkKnown = false; ///< Whether it was measured how long calls hold a place.
+        Duration wait{0};           ///< Expected time until the last waiting call is dispatched.
+        Duration targetWait{0};     ///< Wait that the queue is to have under overload.
+        std::uint32_t inFlight = 0; ///< Running calls.
+        std::uint32_t limit = 1;    ///< Calls that may run at once.
+        std::optional<ServingOrder> lowestWaiting; ///< Lowest order of the waiting calls.
+        bool hasServiceTime = false;               ///< Whether the service time was measured.
     };
 
-    /// A call came, whatever becomes of it. `work`: how long its kind holds a place.
+    /// Records that a call arrived, whatever its outcome. `work` is the time for which a call of its kind occupies a
+    /// slot.
     auto didArrive(ServingOrder order, Duration work) -> void;
 
-    /// The load as it has been since the last observation: call it before each change. Moves the floor when a window is
-    /// over.
+    /// Records the load since the last observation; must be called before each change. Moves the floor at the end of a
+    /// window.
     auto didObserve(const Load &load, TimePoint now) -> void;
 
-    /// Puts the floor above `order` at once, unless it is there already. From there it falls as ever.
+    /// Raises the floor above `order` at once, unless it is above already. It can fall again as usual.
     auto raiseAbove(ServingOrder order) -> void;
 
-    /// The lowest level to send.
+    /// Returns the lowest level that entries may send.
     [[nodiscard]] auto floor() const -> ServingOrder { return m_floor; }
 
-    /// The lowest floor that some entry may still go by: a call below it was not sent in good faith.
-    [[nodiscard]] auto oldestFloor() const -> ServingOrder
+    /// Returns the lowest floor that some entry may still use. A call below it should not have been sent.
+    [[nodiscard]] auto lowestRecentFloor() const -> ServingOrder
     {
-        return *std::min_element(m_floors.begin(), m_floors.end());
+        return *std::min_element(m_recentFloors.begin(), m_recentFloors.end());
     }
 
-    /// Places that what comes at the floor and above would keep taken, smoothed.
-    [[nodiscard]] auto placesAboveFloor() const -> double { return m_placesAboveFloor; }
+    /// Returns the smoothed number of slots that calls at the floor and above occupy.
+    [[nodiscard]] auto slotsAboveFloor() const -> double { return m_slotsAboveFloor; }
 
 private:
     static constexpr auto LevelCount = std::size_t{ClosedOrder.value};
 
-    /// Floors of this many windows are still in the hands of some entry.
-    static constexpr auto FloorsUnderWay = std::size_t{5};
+    /// Number of windows whose floors some entry may still use.
+    static constexpr auto RecentFloorCount = std::size_t{5};
 
     auto endWindow(const Load &load, Duration length) -> void;
-    /// A call came below all levels in use.
-    auto extendTo(std::size_t level) -> void;
-    auto learnRates(std::size_t visible, Duration length) -> void;
+    /// Extends the levels in use, because a call arrived below all of them.
+    auto extendUsedLevelsTo(std::size_t level) -> void;
+    auto updateDemand(std::size_t visible, Duration length) -> void;
     auto extrapolate(std::size_t visible, Duration length) -> void;
     auto moveFloor(std::size_t target, double idle) -> void;
-    [[nodiscard]] static auto highestFloorBeside(std::optional<ServingOrder> lowestWaiting)
+    [[nodiscard]] static auto highestFloorWith(std::optional<ServingOrder> lowestWaiting)
             -> std::size_t;
-    [[nodiscard]] auto fittingPlaces(const Load &load, double used) const -> double;
+    [[nodiscard]] auto fittingSlots(const Load &load, double used) const -> double;
+    /// Returns the lowest level whose calls all entries send.
     [[nodiscard]] auto visibleFrom() const -> std::size_t;
     [[nodiscard]] auto sumFrom(std::size_t level) const -> double;
 
-    /// The greatest level from which on all levels together take `places`; 0 when all do not.
-    [[nodiscard]] auto lowestLevelFor(double places) const -> std::size_t;
-
-    std::array<float, LevelCount> m_places{};   ///< That what would come takes, by level.
-    std::array<float, LevelCount> m_arrivals{}; ///< Work that came in this window, in microseconds.
-    std::array<std::uint8_t, LevelCount> m_windowsSeen{}; ///< Windows that a level has been let in.
-    /// No call has come below it, so that nothing is to be learnt there. Of 32 classes a fleet uses a few: with three of them
-    /// a window costs a sixth of what a pass over all levels does (41,000 against 245,000 instructions by callgrind).
+    /// Returns the greatest level for which it and all levels above it occupy `slots` or more; 0 when all levels together
+    /// occupy fewer.
+    [[nodiscard]] auto lowestLevelFor(double slots) const -> std::size_t;
+
+    std::array<float, LevelCount> m_slots{}; ///< Slots that the demand of each level occupies.
+    /// Work that arrived in this window, in microseconds.
+    std::array<float, LevelCount> m_arrivals{};
+    /// Windows for which each level was visible.
+    std::array<std::uint8_t, LevelCount> m_visibleWindows{};
+    /// Lowest level in use: no call has arrived below it, so the levels below are skipped. Of 32 classes a fleet uses a
+    /// few. With three of them a window costs a sixth of a pass over all levels (41,000 against 245,000 instructions by
+    /// callgrind).
     std::size_t m_lowestUsed = LevelCount;
-    std::uint8_t m_windowsOfUnused = 0; ///< Windows that the levels below it have been let in.
-    std::array<ServingOrder, FloorsUnderWay> m_floors{};
-    std::size_t m_nextFloor = 0;
-    double m_placesAboveFloor = 0; ///< Kept, since each report asks for it.
+    /// Windows for which the levels below m_lowestUsed were visible.
+    std::uint8_t m_unusedVisibleWindows = 0;
+    std::array<ServingOrder, RecentFloorCount> m_recentFloors{};
+    std::size_t m_nextRecentFloor = 0;
+    double m_slotsAboveFloor = 0; ///< Cached, since each report needs it.
     ServingOrder m_floor = LowestOrder;
     TimePoint m_windowStart{};
     TimePoint m_lastObserved{};
-    double m_busyMicroseconds = 0; ///< Sum over the window of the share of the limit in use.
-    double m_waitSum = 0;          ///< Sum over the window of the wait, in microseconds squared.
+    /// Integral over the window of the share of the limit in use, in microseconds.
+    double m_busyMicroseconds = 0;
+    double m_waitSum = 0; ///< Integral over the window of the wait, in microseconds squared.
     bool m_hasStarted = false;
 };
 
--- a/source/admission/State.cpp
+++ b/source/admission/State.cpp
@@ -7,26 +7,27 @@
 
 namespace {
 
-/// The queue holds no more than can be dispatched in this many service times, and in no less than ShortestBound: a
-/// longer one only makes those who wait hold places of the services above.
-constexpr auto BoundInServiceTimes = 2;
-constexpr auto ShortestBound = Duration(100'000);
+/// The queue is bounded by the calls that can be dispatched within this many service times, but no less than
+/// MinQueueBoundTime. In a longer queue, waiting calls only occupy slots of the services that made them for longer.
+constexpr auto QueueBoundInServiceTimes = 2;
+constexpr auto MinQueueBoundTime = Duration(100'000);
 
-/// A queue always takes a few calls, however slow the backend server.
-constexpr auto LeastQueueBound = std::uint32_t{4};
+/// Minimum of the queue bound, however slow the backend server is.
+constexpr auto MinQueueBound = std::uint32_t{4};
 
-/// The queue that is wanted under overload, as a share of the service time: enough that no place stays empty until a
-/// new floor has reached the entries.
+/// Target wait under overload, as a share of the service time. It is long enough that no slot becomes idle until the
+/// entries have received a new floor.
 constexpr auto TargetShareOfServiceTime = 0.5;
-constexpr auto LeastTargetWait = Duration(5'000);
+constexpr auto MinTargetWait = Duration(5'000);
 
-/// Places that those who come later and are more important leave over, at the least: the arrivals are an estimate.
-constexpr auto LeastLeftShare = 0.2;
+/// Minimum share of the slots that remains for a waiting call beside later and more important ones. Their demand is an
+/// estimate.
+constexpr auto MinRemainingShare = 0.2;
 
 auto targetWait(Duration serviceTime) -> Duration
 {
     const auto share = TargetShareOfServiceTime * static_cast<double>(serviceTime.count());
-    return std::max(LeastTargetWait, Duration(static_cast<Duration::rep>(share)));
+    return std::max(MinTargetWait, Duration(static_cast<Duration::rep>(share)));
 }
 
 } // namespace
@@ -52,14 +53,14 @@
     m_costs.didOffer(offer.kind(), offer.callsPerRoot, now);
     const auto order = orderOf(offer);
     m_floor.didArrive(order, serviceTimeOf(offer.kind()));
-    // Those who have become hopeless leave first: the newcomer is judged by the queue that it really meets.
-    settle(std::nullopt, now, random, progress);
+    // Waiting calls that have become too late are refused first, so that only the others count for the new call.
+    processQueue(std::nullopt, now, random, progress);
     const auto refusal = refusalOf({offer, order}, now);
     if (refusal == Reason::None)
         m_queue.push({offer, order});
     else
         refuse(offer.id, refusal, random, progress);
-    settle(offer.id, now, random, progress);
+    processQueue(offer.id, now, random, progress);
     return progress;
 }
 
@@ -74,7 +75,7 @@
         assert(false && "only a dispatched call can complete, and only once");
         return progress;
     }
-    didDropLoad();
+    didReduceLoad();
     m_limit.didComplete({completion, latency, m_serviceTime.mean(), inFlightBefore}, now);
     if (completion == Completion::Succeeded) {
         m_serviceTime.didMeasure(latency);
@@ -82,7 +83,7 @@
     }
     if (completion == Completion::TimedOut)
         m_serviceTime.didExceed(latency);
-    settle(std::nullopt, now, random, progress);
+    processQueue(std::nullopt, now, random, progress);
     return progress;
 }
 
@@ -90,9 +91,9 @@
 {
     observe(now);
     auto progress = Progress();
-    didDropLoad();
+    didReduceLoad();
     if (m_queue.remove(id))
-        settle(std::nullopt, now, random, progress);
+        processQueue(std::nullopt, now, random, progress);
     return progress;
 }
 
@@ -100,7 +101,7 @@
 {
     observe(now);
     auto progress = Progress();
-    settle(std::nullopt, now, random, progress);
+    processQueue(std::nullopt, now, random, progress);
     return progress;
 }
 
@@ -137,8 +138,8 @@
     report.limit = m_limit.limit();
     report.inFlight = inFlight();
     report.queued = queued();
-    const auto isFree = queued() == 0 && inFlight() < report.limit;
-    report.estimatedWait = isFree ? Duration(0) : waitAtFloor();
+    const auto hasFreeSlot = queued() == 0 && inFlight() < report.limit;
+    report.estimatedWait = hasFreeSlot ? Duration(0) : waitAtFloor();
     report.isDraining = m_isDraining;
     if (m_isDraining) {
         report.floors.assign(1, ClosedLevel);
@@ -187,31 +188,31 @@
         return Reason::DeadlineExceeded;
     if (isBelowDeeperFloor(offer))
         return Reason::BelowFloor;
-    // Whoever is greater than a call that waits comes before it, whatever the floor.
-    const auto comesBefore = !m_queue.isEmpty() && call.order > m_queue.last().order;
-    const auto isFree = inFlight() < m_limit.limit();
-    if (!comesBefore && !isFree && call.order < m_enforcedFloor)
+    // A call of a greater order than a waiting call is served before it, whatever the floor is.
+    const auto isBeforeLast = !m_queue.isEmpty() && call.order > m_queue.last().order;
+    const auto hasFreeSlot = inFlight() < m_limit.limit();
+    if (!isBeforeLast && !hasFreeSlot && call.order < m_enforcedFloor)
         return Reason::BelowFloor;
     return Reason::None;
 }
 
-auto AdmissionController::State::settle(std::optional<CallId> newcomer, TimePoint now,
-                                        Random &random, Progress &progress) -> void
+auto AdmissionController::State::processQueue(std::optional<CallId> newCall, TimePoint now,
+                                              Random &random, Progress &progress) -> void
 {
     refuseBelowDeeperFloors(random, progress);
     dispatchFree(now, random, progress);
     const auto before = queued();
-    refuseHopeless(now, random, progress);
-    // Where a newcomer makes others hopeless, load has grown.
-    if (!newcomer && queued() < before)
-        didDropLoad();
-    boundQueue(newcomer, random, progress);
+    refuseTooLate(now, random, progress);
+    // Calls that become too late because of a new call show that load has grown.
+    if (!newCall && queued() < before)
+        didReduceLoad();
+    boundQueue(newCall, random, progress);
     refuseOvertaken(random, progress);
 }
 
 auto AdmissionController::State::refuseBelowDeeperFloors(Random &random, Progress &progress) -> void
 {
-    // Those who waited when the floor rose must not be served while greater levels are refused.
+    // Calls that waited when the floor rose must not be served while calls of greater levels are refused.
     const auto isBelow = [&](const QueuedCall &call, std::uint32_t) {
         return isBelowDeeperFloor(call.offer);
     };
@@ -233,8 +234,8 @@
             refuse(call.id, Reason::DeadlineExceeded, random, progress);
             continue;
         }
-        // An idle backend server is tried in any case: a service time that was learnt from bad times would else refuse
-        // everything, and never be corrected.
+        // An idle backend server always receives the call. A service time that was measured during a slowdown would
+        // otherwise refuse all calls, and would never be updated.
         if (inFlight() > 0 && now + m_serviceTime.mean() > call.deadline) {
             refuse(call.id, Reason::WaitExceedsDeadline, random, progress);
             continue;
@@ -244,16 +245,16 @@
     }
 }
 
-auto AdmissionController::State::refuseHopeless(TimePoint now, Random &random, Progress &progress)
+auto AdmissionController::State::refuseTooLate(TimePoint now, Random &random, Progress &progress)
         -> void
 {
-    const auto isHopeless = [&](const QueuedCall &call, std::uint32_t position) {
+    const auto isTooLate = [&](const QueuedCall &call, std::uint32_t position) {
         const auto &offer = call.offer;
         return now + waitBehind(position) + m_serviceTime.mean() > offer.deadline;
     };
-    for (const auto &it : m_queue.removeIf(isHopeless)) {
-        const auto isLate = it.deadline <= now;
-        const auto reason = isLate ? Reason::DeadlineExceeded : Reason::WaitExceedsDeadline;
+    for (const auto &it : m_queue.removeIf(isTooLate)) {
+        const auto hasExpired = it.deadline <= now;
+        const auto reason = hasExpired ? Reason::DeadlineExceeded : Reason::WaitExceedsDeadline;
         refuse(it.id, reason, random, progress);
     }
 }
@@ -263,33 +264,34 @@
     const auto order = m_queue.greatestOvertaken(queueBound());
     if (!order)
         return;
-    // Greater calls keep coming in its place here, but another upstream may have room while there is time. Those behind
-    // it have even less to hope for, and must not be served in its stead.
+    // Calls of greater order keep arriving here, but another upstream may have a free slot while there is time. The
+    // calls behind the overtaken one would wait even longer, and must not be served instead of it.
     const auto isOvertaken = [&](const QueuedCall &call, std::uint32_t) {
         return call.order <= *order;
     };
     for (const auto &it : m_queue.removeIf(isOvertaken)) {
-        noteLostPlace(it);
+        raiseFloorIfDeeper(it);
         refuse(it.id, Reason::Evicted, random, progress);
     }
     m_enforcedFloor = std::max(m_enforcedFloor, *order);
 }
 
-auto AdmissionController::State::boundQueue(std::optional<CallId> newcomer, Random &random,
+auto AdmissionController::State::boundQueue(std::optional<CallId> newCall, Random &random,
                                             Progress &progress) -> void
 {
     const auto bound = queueBound();
     while (m_queue.size() > bound) {
         const auto call = m_queue.popLast();
-        noteLostPlace(call);
-        const auto reason = call.id == newcomer ? Reason::QueueFull : Reason::Evicted;
+        raiseFloorIfDeeper(call);
+        const auto reason = call.id == newCall ? Reason::QueueFull : Reason::Evicted;
         refuse(call.id, reason, random, progress);
     }
 }
 
-auto AdmissionController::State::noteLostPlace(const CallOffer &offer) -> void
+auto AdmissionController::State::raiseFloorIfDeeper(const CallOffer &offer) -> void
 {
-    // Where running requests are refused no others of their standing may begin: they would end the same way.
+    // Where calls of running requests are refused, no request of the same order may begin: its calls would be refused
+    // the same way.
     if (offer.hasBegun)
         m_floor.raiseAbove(orderOf(offer));
 }
@@ -307,10 +309,10 @@
 
 auto AdmissionController::State::waitAtFloor() const -> Duration
 {
-    // A call at the floor lets all pass that come while it waits.
-    const auto overtaking = m_floor.placesAboveFloor() / m_limit.limit();
-    const auto left = std::max(1.0 - overtaking, LeastLeftShare);
-    const auto wait = static_cast<double>(waitBehind(queued()).count()) / left;
+    // A call at the floor is overtaken by all calls that arrive while it waits.
+    const auto overtaking = m_floor.slotsAboveFloor() / m_limit.limit();
+    const auto remainingShare = std::max(1.0 - overtaking, MinRemainingShare);
+    const auto wait = static_cast<double>(waitBehind(queued()).count()) / remainingShare;
     return Duration(static_cast<Duration::rep>(wait));
 }
 
@@ -319,9 +321,9 @@
     const auto serviceTime = m_serviceTime.mean();
     if (serviceTime <= Duration(0))
         return m_settings.maxQueue;
-    const auto longest = std::max(serviceTime * BoundInServiceTimes, ShortestBound);
+    const auto longest = std::max(serviceTime * QueueBoundInServiceTimes, MinQueueBoundTime);
     const auto calls = longest.count() * m_limit.limit() / serviceTime.count();
-    const auto least = std::min(LeastQueueBound, m_settings.maxQueue);
+    const auto least = std::min(MinQueueBound, m_settings.maxQueue);
     return static_cast<std::uint32_t>(std::clamp<Duration::rep>(calls, least, m_settings.maxQueue));
 }
 
@@ -338,14 +340,14 @@
         load.lowestWaiting = m_queue.last().order;
     load.inFlight = inFlight();
     load.limit = limit;
-    load.isWorkKnown = serviceTime > Duration(0);
+    load.hasServiceTime = serviceTime > Duration(0);
     m_floor.didObserve(load, now);
-    m_enforcedFloor = std::max(m_enforcedFloor, m_floor.oldestFloor());
+    m_enforcedFloor = std::max(m_enforcedFloor, m_floor.lowestRecentFloor());
 }
 
-auto AdmissionController::State::didDropLoad() -> void
+auto AdmissionController::State::didReduceLoad() -> void
 {
-    m_enforcedFloor = m_floor.oldestFloor();
+    m_enforcedFloor = m_floor.lowestRecentFloor();
 }
 
 } // namespace stairspur::admission
--- a/source/admission/State.h
+++ b/source/admission/State.h
@@ -16,8 +16,8 @@
 
 namespace stairspur::admission {
 
-/// The parts of the decision at work together. The order of the queue alone decides who is served and who is refused;
-/// limit, service time and floor only say how many.
+/// Implementation of the AdmissionController. The order of the queue alone decides which calls are served and which are
+/// refused; limit, service time and floor decide only how many.
 class AdmissionController::State
 {
 public:
@@ -48,51 +48,55 @@
     [[nodiscard]] auto queued() const -> std::uint32_t { return m_queue.size(); }
 
 private:
-    /// Why a call is refused before it asks for a place; Reason::None when it is not.
+    /// Returns why a call is refused before it enters the queue; Reason::None when it may enter.
     [[nodiscard]] auto refusalOf(const QueuedCall &call, TimePoint now) const -> Reason;
 
-    /// Brings the queue into order after any change: dispatches, refuses what is hopeless, bounds the length. `newcomer`
-    /// is the call that was just offered.
-    auto settle(std::optional<CallId> newcomer, TimePoint now, Random &random, Progress &progress)
-            -> void;
+    /// Processes the queue after any change: dispatches calls, refuses those that are too late, and bounds the length.
+    /// `newCall` is the call that was just offered.
+    auto processQueue(std::optional<CallId> newCall, TimePoint now, Random &random,
+                      Progress &progress) -> void;
     auto refuseBelowDeeperFloors(Random &random, Progress &progress) -> void;
     auto dispatchFree(TimePoint now, Random &random, Progress &progress) -> void;
-    auto refuseHopeless(TimePoint now, Random &random, Progress &progress) -> void;
+    /// Refuses the calls that are expected to end after their deadlines.
+    auto refuseTooLate(TimePoint now, Random &random, Progress &progress) -> void;
+    /// Refuses the calls that a full queue of greater ones has overtaken, and all calls of lower order.
     auto refuseOvertaken(Random &random, Progress &progress) -> void;
-    auto boundQueue(std::optional<CallId> newcomer, Random &random, Progress &progress) -> void;
-    /// The queue has no room for this call.
-    auto noteLostPlace(const CallOffer &offer) -> void;
+    auto boundQueue(std::optional<CallId> newCall, Random &random, Progress &progress) -> void;
+    /// Raises the floor above a refused call if a running call makes it.
+    auto raiseFloorIfDeeper(const CallOffer &offer) -> void;
     auto refuse(CallId id, Reason reason, Random &random, Progress &progress) -> void;
 
-    /// Time until a waiting call is dispatched that has `ahead` calls before it, while no place is free.
+    /// Returns the time until a waiting call with `ahead` calls before it is dispatched, while no slot is free.
     [[nodiscard]] auto waitBehind(std::uint32_t ahead) const -> Duration;
+    /// Returns the expected wait of a call at the floor.
     [[nodiscard]] auto waitAtFloor() const -> Duration;
-    /// How long a call of this kind holds a place.
+    /// Returns the time for which a call of this kind occupies a slot.
     [[nodiscard]] auto serviceTimeOf(FloorKey kind) const -> Duration;
     [[nodiscard]] auto orderOf(const CallOffer &offer) const -> ServingOrder;
-    /// The own floors as levels, by class and, for the paths of which some levels yield, by path.
+    /// Adds the floors by class, and by path for the deeper services and for the paths with yielding levels.
     auto addOwnFloors(LoadReport &report) const -> void;
     [[nodiscard]] auto isBelowDeeperFloor(const CallOffer &call) const -> bool;
     [[nodiscard]] auto queueBound() const -> std::uint32_t;
 
-    /// Lets everything that follows time know of it. Call before any change.
+    /// Updates everything that depends on time. Must be called before any change.
     auto observe(TimePoint now) -> void;
 
-    /// A call has left: the enforced floor may fall.
-    auto didDropLoad() -> void;
+    /// Lowers the enforced floor as far as possible, since a call has left.
+    auto didReduceLoad() -> void;
 
     AdmissionSettings m_settings;
     AdaptiveLimit m_limit;
-    ServiceTime m_serviceTime; ///< Of all calls.
+    ServiceTime m_serviceTime; ///< Service time over all calls.
     RequestCosts m_costs;
     WaitingQueue m_queue;
     FloorEstimator m_floor;
-    /// Arriving calls below it are refused, unless they come before one that waits. Follows the floors that entries may
-    /// still go by, but never falls while load only grows: what was refused must not be let in from others.
+    /// Floor below which arriving calls are refused while no slot is free, unless they are served before a waiting call.
+    /// It follows the floors that entries may still use, but doesn't fall while load only grows: a level that was refused
+    /// to some callers must not be admitted from others.
     ServingOrder m_enforcedFloor = LowestOrder;
     DeeperFloors m_deeper;
     RetryAfter m_retryAfter;
-    std::unordered_map<CallId, FloorKey> m_running; ///< With the kind of each call.
+    std::unordered_map<CallId, FloorKey> m_running; ///< Kind of each running call.
     std::uint64_t m_sequence = 0;
     bool m_isDraining = false;
 };
