--- a/source/admission/RequestCosts.cpp
+++ b/source/admission/RequestCosts.cpp
@@ -8,20 +8,23 @@
 
 namespace {
 
-/// Calls after which the mean is good to some 20 %, at the spreads of the users' sheets (0.5 to 0.8 of the mean).
-constexpr auto CallsToKnow = std::uint32_t{16};
+/// Number of calls after which the mean is accurate to some 20 %, where service times spread by 0.5 to 0.8 of the mean.
+constexpr auto MinMeasuredCalls = std::uint32_t{16};
 
-/// Up to this ratio to the cheapest kind of the class nothing yields: the means of equal kinds differ by as much.
+/// Ratio to the cheapest kind of the class up to which no level yields. The means of equal kinds differ by as much.
 constexpr auto EqualCostRatio = 1.25;
-/// From this ratio on all that may yield does: at least two requests are served in the place of one.
-constexpr auto DearCostRatio = 2.0;
-/// The most that yields. What stays is served like every other request of the class, so that no kind starves.
-constexpr auto MostYieldingShare = 0.7;
-
-/// Far above the time between two judgements, and above a wave of the traffic.
-constexpr auto Memory = Duration(20'000'000);
-/// A judgement that changes moves calls between bands, and the floor has to follow.
-constexpr auto JudgeInterval = Duration(200'000);
+/// Ratio from which on the maximum share yields. At least two requests are then served in place of one.
+constexpr auto ExpensiveCostRatio = 2.0;
+/// Maximum share of the levels that yield. The other levels are served like all requests of the class, so that no kind
+/// starves.
+constexpr auto MaxYieldingShare = 0.7;
+
+/// Time after which a kind without calls is removed. It is far above UpdateInterval, and longer than a wave of the
+/// traffic.
+constexpr auto KindLifetime = Duration(20'000'000);
+/// Time between two updates of the yielding levels. Each change moves calls between the bands, and the floor has to
+/// follow.
+constexpr auto UpdateInterval = Duration(200'000);
 
 } // namespace
 
@@ -38,26 +41,26 @@
     if (it == m_kinds.end())
         return;
     it->second.serviceTime.didMeasure(latency);
-    it->second.measured = std::min(it->second.measured + 1, CallsToKnow);
+    it->second.measuredCalls = std::min(it->second.measuredCalls + 1, MinMeasuredCalls);
 }
 
-auto RequestCosts::serviceTimeOf(FloorKey kind, Duration otherwise) const -> Duration
+auto RequestCosts::serviceTimeOf(FloorKey kind, Duration fallback) const -> Duration
 {
     const auto it = m_kinds.find(kind);
-    return it != m_kinds.end() && isKnown(it->second) ? it->second.serviceTime.mean() : otherwise;
+    return it != m_kinds.end() && hasMean(it->second) ? it->second.serviceTime.mean() : fallback;
 }
 
 auto RequestCosts::yieldingLevelsOf(FloorKey kind) const -> std::uint32_t
 {
     const auto it = m_kinds.find(kind);
-    return it == m_kinds.end() ? 0 : it->second.yielding;
+    return it == m_kinds.end() ? 0 : it->second.yieldingLevels;
 }
 
 auto RequestCosts::yieldingPathsOf(ClassRank rank) const -> std::vector<PathKey>
 {
     auto paths = std::vector<PathKey>();
     for (const auto &[kind, cost] : m_kinds) {
-        if (kind.rank == rank && cost.yielding > 0)
+        if (kind.rank == rank && cost.yieldingLevels > 0)
             paths.push_back(kind.path);
     }
     return paths;
@@ -65,35 +68,36 @@
 
 auto RequestCosts::didPassTime(TimePoint now) -> void
 {
-    if (now - m_judgedAt < JudgeInterval)
+    if (now - m_updatedAt < UpdateInterval)
         return;
-    m_judgedAt = now;
-    std::erase_if(m_kinds, [&](const auto &it) { return now - it.second.lastOffered > Memory; });
+    m_updatedAt = now;
+    std::erase_if(m_kinds,
+                  [&](const auto &it) { return now - it.second.lastOffered > KindLifetime; });
     for (auto &[kind, cost] : m_kinds) {
-        const auto ratio = isKnown(cost) ? perRoot(cost) / leastOf(kind.rank) : 1.0;
-        const auto dearness = (ratio - EqualCostRatio) / (DearCostRatio - EqualCostRatio);
-        const auto share = MostYieldingShare * std::clamp(dearness, 0.0, 1.0);
-        cost.yielding = static_cast<std::uint32_t>(std::lround(share * HashesPerClass));
+        const auto ratio = hasMean(cost) ? costPerRootRequest(cost) / lowestCostOf(kind.rank) : 1.0;
+        const auto excess = (ratio - EqualCostRatio) / (ExpensiveCostRatio - EqualCostRatio);
+        const auto share = MaxYieldingShare * std::clamp(excess, 0.0, 1.0);
+        cost.yieldingLevels = static_cast<std::uint32_t>(std::lround(share * HashesPerClass));
     }
 }
 
-auto RequestCosts::isKnown(const Cost &cost) -> bool
+auto RequestCosts::hasMean(const Cost &cost) -> bool
 {
-    return cost.measured >= CallsToKnow;
+    return cost.measuredCalls >= MinMeasuredCalls;
 }
 
-auto RequestCosts::perRoot(const Cost &cost) -> double
+auto RequestCosts::costPerRootRequest(const Cost &cost) -> double
 {
     const auto time = std::max<double>(static_cast<double>(cost.serviceTime.mean().count()), 1.0);
     return time * cost.callsPerRoot;
 }
 
-auto RequestCosts::leastOf(ClassRank rank) const -> double
+auto RequestCosts::lowestCostOf(ClassRank rank) const -> double
 {
     auto least = std::numeric_limits<double>::max();
     for (const auto &[kind, cost] : m_kinds) {
-        if (kind.rank == rank && isKnown(cost))
-            least = std::min(least, perRoot(cost));
+        if (kind.rank == rank && hasMean(cost))
+            least = std::min(least, costPerRootRequest(cost));
     }
     return least;
 }
--- a/source/admission/RequestCosts.h
+++ b/source/admission/RequestCosts.h
@@ -11,42 +11,42 @@
 
 namespace stairspur::admission {
 
-/// What whole requests cost at one backend server, by kind: class and path of the calls that they make here.
+/// Measures the cost of requests at one backend server, by kind: the class and path of the calls that they make here.
 ///
-/// Requests of one class pay the same, but one may take ten times the places of another where places are short. Under
-/// overload each dear one that is refused there lets several cheap ones through. So a part of the levels of a dear kind
-/// yields to all others of the class; the rest stays, so that no kind starves.
+/// Requests of one class have equal priority, but one may occupy ten times the slots of another where slots are scarce.
+/// Under overload, each expensive request that is refused there makes room for several cheap ones. So a part of the
+/// levels of an expensive kind yields to all others of the class. The rest keeps its order, so that no kind starves.
 class RequestCosts
 {
 public:
-    /// A call came. `callsPerRoot`: how many calls of this kind its root request makes altogether.
+    /// Records that a call arrived. `callsPerRoot` is the total of the calls of this kind that its root request makes.
     auto didOffer(FloorKey kind, std::uint32_t callsPerRoot, TimePoint now) -> void;
 
-    /// A call of this kind held a place for `latency`.
+    /// Records that a call of this kind occupied a slot for `latency`.
     auto didMeasure(FloorKey kind, Duration latency) -> void;
 
-    /// The mean time that a call of this kind holds a place; `otherwise` until it is known.
-    [[nodiscard]] auto serviceTimeOf(FloorKey kind, Duration otherwise) const -> Duration;
+    /// Returns the mean time for which a call of this kind occupies a slot; `fallback` until enough calls were measured.
+    [[nodiscard]] auto serviceTimeOf(FloorKey kind, Duration fallback) const -> Duration;
 
-    /// How many of the lowest levels of this kind yield, of HashesPerClass.
+    /// Returns how many of the lowest levels of this kind yield, out of HashesPerClass.
     [[nodiscard]] auto yieldingLevelsOf(FloorKey kind) const -> std::uint32_t;
 
-    /// The paths of this class of which some levels yield.
+    /// Returns the paths of this class with yielding levels.
     [[nodiscard]] auto yieldingPathsOf(ClassRank rank) const -> std::vector<PathKey>;
 
-    /// Forgets kinds that have not come for a while, and judges the others anew.
+    /// Removes the kinds that had no calls for a while, and updates the yielding levels of the others.
     auto didPassTime(TimePoint now) -> void;
 
-    /// Another backend server: nothing that was measured holds for it.
+    /// Discards all measurements, since they don't apply to another backend server.
     auto clear() -> void { m_kinds.clear(); }
 
 private:
     struct Cost
     {
         ServiceTime serviceTime;
-        std::uint32_t measured = 0; ///< Calls whose time is in the mean; not counted past enough.
+        std::uint32_t measuredCalls = 0; ///< Calls in the mean, counted up to MinMeasuredCalls.
         std::uint32_t callsPerRoot = 1;
-        std::uint32_t yielding = 0;
+        std::uint32_t yieldingLevels = 0;
         TimePoint lastOffered{};
     };
 
@@ -58,12 +58,12 @@
         }
     };
 
-    [[nodiscard]] static auto isKnown(const Cost &cost) -> bool;
-    [[nodiscard]] static auto perRoot(const Cost &cost) -> double;
-    [[nodiscard]] auto leastOf(ClassRank rank) const -> double;
+    [[nodiscard]] static auto hasMean(const Cost &cost) -> bool;
+    [[nodiscard]] static auto costPerRootRequest(const Cost &cost) -> double;
+    [[nodiscard]] auto lowestCostOf(ClassRank rank) const -> double;
 
     std::unordered_map<FloorKey, Cost, KindHash> m_kinds;
-    TimePoint m_judgedAt{};
+    TimePoint m_updatedAt{};
 };
 
 } // namespace stairspur::admission
--- a/source/admission/RetryAfter.h
+++ b/source/admission/RetryAfter.h
@@ -6,17 +6,17 @@
 
 namespace stairspur::admission {
 
-/// When a refused caller may come back: grows with the share of calls that is refused, with jitter, so that those who
-/// were refused together do not come back together.
+/// Computes the time after which a refused caller may retry. It grows with the share of refused calls, and has jitter so
+/// that callers that were refused together don't retry together.
 class RetryAfter
 {
 public:
     explicit RetryAfter(const AdmissionSettings &settings);
 
-    /// A call was taken in (and perhaps refused later on).
+    /// Records that a call was offered. The call may be refused later.
     auto didOffer() -> void;
 
-    /// A call was refused: the time to tell it, between half and the whole of the present delay.
+    /// Records that a call was refused, and returns its Retry-After, between half and all of the current delay.
     auto didRefuse(Random &random) -> Duration;
 
 private:
--- a/source/admission/ServiceTime.cpp
+++ b/source/admission/ServiceTime.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Weight of one latency: the mean follows a change within a few dozen calls.
+/// Weight of one latency, by which the mean follows a change within a few dozen calls.
 constexpr auto Weight = 0.05;
 
 } // namespace
@@ -14,8 +14,8 @@
 auto ServiceTime::didMeasure(Duration latency) -> void
 {
     const auto microseconds = static_cast<double>(latency.count());
-    m_meanMicroseconds += (microseconds - m_meanMicroseconds) * (m_isKnown ? Weight : 1.0);
-    m_isKnown = true;
+    m_meanMicroseconds += (microseconds - m_meanMicroseconds) * (m_hasMeasurement ? Weight : 1.0);
+    m_hasMeasurement = true;
 }
 
 auto ServiceTime::didExceed(Duration latency) -> void
--- a/source/admission/ServiceTime.h
+++ b/source/admission/ServiceTime.h
@@ -4,22 +4,22 @@
 
 namespace stairspur::admission {
 
-/// How long the backend server takes for a call: an exponentially weighted mean of its latencies.
+/// Estimates the service time of the backend server as an exponentially weighted mean of its latencies.
 class ServiceTime
 {
 public:
-    /// A call ran to its end in `latency`.
+    /// Records that a call completed in `latency`.
     auto didMeasure(Duration latency) -> void;
 
-    /// A call was given up on after `latency`, so that it would have taken at least that long.
+    /// Records that a call was aborted after `latency`, so that its service time is at least that long.
     auto didExceed(Duration latency) -> void;
 
-    /// The mean; zero until something was measured.
+    /// Returns the mean; zero until a latency was recorded.
     [[nodiscard]] auto mean() const -> Duration;
 
 private:
     double m_meanMicroseconds = 0;
-    bool m_isKnown = false;
+    bool m_hasMeasurement = false;
 };
 
 } // namespace stairspur::admission
--- a/source/admission/WaitingQueue.cpp
+++ b/source/admission/WaitingQueue.cpp
@@ -11,20 +11,20 @@
     const auto isNew = m_keys.emplace(call.offer.id, key).second;
     assert(isNew && "a call id waits only once");
     if (isNew)
-        m_calls.emplace(key, Waiting{call, m_taken});
+        m_calls.emplace(key, Waiting{call, m_poppedCount});
 }
 
 auto WaitingQueue::popFirst() -> CallOffer
 {
     assert(!isEmpty());
-    ++m_taken;
-    return take(m_calls.begin());
+    ++m_poppedCount;
+    return extract(m_calls.begin());
 }
 
 auto WaitingQueue::popLast() -> CallOffer
 {
     assert(!isEmpty());
-    return take(std::prev(m_calls.end()));
+    return extract(std::prev(m_calls.end()));
 }
 
 auto WaitingQueue::last() const -> const QueuedCall &
@@ -46,7 +46,7 @@
 auto WaitingQueue::greatestOvertaken(std::uint64_t count) const -> std::optional<ServingOrder>
 {
     for (const auto &[key, waiting] : m_calls) {
-        if (m_taken - waiting.takenBefore >= count)
+        if (m_poppedCount - waiting.poppedBefore >= count)
             return key.order;
     }
     return std::nullopt;
@@ -57,7 +57,7 @@
     return static_cast<std::uint32_t>(m_calls.size());
 }
 
-auto WaitingQueue::take(std::map<Key, Waiting>::iterator it) -> CallOffer
+auto WaitingQueue::extract(std::map<Key, Waiting>::iterator it) -> CallOffer
 {
     const auto offer = it->second.call.offer;
     m_keys.erase(offer.id);
--- a/source/admission/WaitingQueue.h
+++ b/source/admission/WaitingQueue.h
@@ -12,40 +12,42 @@
 
 namespace stairspur::admission {
 
-/// A call that waits, and where it stands.
+/// A waiting call and its order.
 struct QueuedCall
 {
     CallOffer offer;
     ServingOrder order;
 };
 
-/// The calls that wait for a place: the greatest order first, in the order of arrival among equals.
+/// Queue of the calls that wait for a slot. The call with the greatest order is first; calls of equal order are in the
+/// order of arrival.
 class WaitingQueue
 {
 public:
+    /// Adds a call, whose id isn't in the queue.
     auto push(const QueuedCall &call) -> void;
 
-    /// Takes the call that is next. The queue is not empty.
+    /// Removes and returns the first call. The queue must not be empty.
     auto popFirst() -> CallOffer;
 
-    /// Takes the call that is least important and came last. The queue is not empty.
+    /// Removes and returns the call of the lowest order that arrived last. The queue must not be empty.
     auto popLast() -> CallOffer;
 
-    /// The call that popLast() would take. The queue is not empty.
+    /// Returns the call that popLast() would remove. The queue must not be empty.
     [[nodiscard]] auto last() const -> const QueuedCall &;
 
-    /// Takes out one call. False when it does not wait here.
+    /// Removes a call. Returns whether it was in the queue.
     auto remove(CallId id) -> bool;
 
-    /// The greatest order of the calls that saw at least `count` others taken by popFirst() since they came; nothing when
-    /// there is none.
+    /// Returns the greatest order of the calls during whose wait popFirst() has removed at least `count` others; nothing
+    /// when there is no such call.
     [[nodiscard]] auto greatestOvertaken(std::uint64_t count) const -> std::optional<ServingOrder>;
 
     [[nodiscard]] auto size() const -> std::uint32_t;
     [[nodiscard]] auto isEmpty() const -> bool { return m_calls.empty(); }
 
-    /// Takes out all calls for which `shouldRemove(call, position)` holds, in the order of the queue. The position counts
-    /// the calls ahead that stay.
+    /// Removes and returns all calls for which `shouldRemove(call, position)` returns true, in the order of the queue. The
+    /// position is the number of calls ahead that remain.
     template <typename Predicate>
     auto removeIf(Predicate shouldRemove) -> std::vector<CallOffer>
     {
@@ -79,15 +81,16 @@
     struct Waiting
     {
         QueuedCall call;
-        std::uint64_t takenBefore = 0; ///< Calls that popFirst() had taken when it came.
+        std::uint64_t poppedBefore =
+                0; ///< Calls that popFirst() had removed when this call arrived.
     };
 
-    auto take(std::map<Key, Waiting>::iterator it) -> CallOffer;
+    auto extract(std::map<Key, Waiting>::iterator it) -> CallOffer;
 
     std::map<Key, Waiting> m_calls;
     std::unordered_map<CallId, Key> m_keys;
     std::uint64_t m_nextArrival = 0;
-    std::uint64_t m_taken = 0; ///< By popFirst().
+    std::uint64_t m_poppedCount = 0; ///< Calls that popFirst() has removed.
 };
 
 } // namespace stairspur::admission
