--- a/source/admission/FloorEstimator.cpp
+++ b/source/admission/FloorEstimator.cpp
@@ -114,8 +114,8 @@
 {
     const auto microseconds = static_cast<float>(length.count());
     const auto weight = weightOf(length, DemandSmoothingTime);
-    const auto oneMore = [](std::uint8_t count) {
-        return static_cast<std::uint8_t>(std::min(count + 1, 255));
+    const auto oneMore = [](std::uint8_t n) {
+        return static_cast<std::uint8_t>(std::min(n + 1, 255));
     };
     m_unusedVisibleWindows =
             visible > m_lowestUsed ? std::uint8_t{0} : oneMore(m_unusedVisibleWindows);
