--- a/tests/admission/Gate.h
+++ b/tests/admission/Gate.h
@@ -14,7 +14,7 @@
     return Duration(static_cast<Duration::rep>(n) * 1000);
 }
 
-/// A controller with a clock and a random source of its own, and what became of each call.
+/// An admission controller with its own clock and random source, which records the outcome of each call.
 struct Gate
 {
     explicit Gate(const AdmissionSettings &settings, std::uint64_t seed = 1)
@@ -22,28 +22,30 @@
         , random(seed)
     {}
 
+    /// Offers a call whose deadline is in `remaining`.
     auto offer(CallId id, Level level, Duration remaining = 2000_ms) -> Progress
     {
         levels[id] = level;
-        return note(controller.offer({id, level, now + remaining}, now, random));
+        return record(controller.offer({id, level, now + remaining}, now, random));
     }
 
+    /// Ends a running call.
     auto complete(CallId id, Completion completion = Completion::Succeeded,
                   Duration latency = 10_ms) -> Progress
     {
         ended.insert(id);
         running.erase(std::find(running.begin(), running.end(), id));
-        return note(controller.didComplete(id, completion, latency, now, random));
+        return record(controller.didComplete(id, completion, latency, now, random));
     }
 
-    /// Ends the call that has run longest.
+    /// Ends the call that has run for the longest time.
     auto completeOldest(Completion completion = Completion::Succeeded, Duration latency = 10_ms)
             -> Progress
     {
         return complete(running.front(), completion, latency);
     }
 
-    /// The lowest level that waits; ClosedLevel when nobody does.
+    /// Returns the lowest level among the waiting calls; ClosedLevel when no call waits.
     [[nodiscard]] auto lowestWaiting() const -> Level
     {
         auto lowest = ClosedLevel;
@@ -55,13 +57,15 @@
         return lowest;
     }
 
-    auto pass(Duration time) -> Progress
+    /// Advances the clock by `time`.
+    auto advance(Duration time) -> Progress
     {
         now += time;
-        return note(controller.didPassTime(now, random));
+        return record(controller.didPassTime(now, random));
     }
 
-    auto note(Progress progress) -> Progress
+    /// Records the outcome of the calls in `progress`.
+    auto record(Progress progress) -> Progress
     {
         for (auto it : progress.dispatch)
             running.push_back(it);
@@ -73,13 +77,13 @@
     AdmissionController controller;
     Random random;
     TimePoint now{1000_ms};
-    std::vector<CallId> running; ///< In the order of dispatch.
+    std::vector<CallId> running; ///< Running calls in the order of dispatch.
     std::map<CallId, Reason> refused;
     std::map<CallId, Level> levels;
     std::set<CallId> ended;
 };
 
-/// A gate whose limit stands at `slots` and whose service time is known to be 10 ms.
+/// Returns a gate whose limit is `slots` and whose measured service time is 10 ms.
 inline auto warmGate(std::uint32_t slots, std::uint32_t maxQueue = 256) -> Gate
 {
     auto settings = AdmissionSettings();
--- a/tests/admission/TestAdmissionController.cpp
+++ b/tests/admission/TestAdmissionController.cpp
@@ -31,10 +31,10 @@
         Reason reason;
     };
     const Case cases[] = {
-            {makeLevel(0, 0), 3, Reason::Evicted},    // The lowest leaves, the latest among equals.
-            {makeLevel(1, 8), 3, Reason::Evicted},    // The hash decides within a class.
-            {makeLevel(1, 7), 9, Reason::QueueFull},  // An equal comes too late.
-            {makeLevel(2, 99), 9, Reason::QueueFull}, // A lower one is no reason to evict.
+            {makeLevel(0, 0), 3, Reason::Evicted}, // The last call of the lowest level is evicted.
+            {makeLevel(1, 8), 3, Reason::Evicted}, // The hash decides within a class.
+            {makeLevel(1, 7), 9, Reason::QueueFull},  // A later call of an equal level is refused.
+            {makeLevel(2, 99), 9, Reason::QueueFull}, // A call of a lower level evicts none.
     };
     for (const auto &it : cases) {
         auto gate = warmGate(1, 3);
@@ -55,7 +55,7 @@
     struct Case
     {
         Duration remaining;
-        int ahead; // Calls before it, each of which takes 10 ms on the one slot.
+        int ahead; // Calls before it, each of which occupies the only slot for 10 ms.
         Reason reason;
     };
     const Case cases[] = {
@@ -74,7 +74,7 @@
     }
 }
 
-Test(AdmissionController, waitCountsOnlyThoseAhead)
+Test(AdmissionController, waitCountsOnlyCallsAhead)
 {
     auto gate = warmGate(1);
     for (auto id = CallId{0}; id < 6; ++id)
@@ -85,7 +85,7 @@
     cr_assert_eq(gate.running.front(), 9);
 }
 
-Test(AdmissionController, expiredWorkIsNeverDispatched)
+Test(AdmissionController, expiredCallsAreNeverDispatched)
 {
     auto gate = warmGate(1);
     gate.offer(1, makeLevel(0, 0));
@@ -96,18 +96,18 @@
     cr_assert(gate.refused[2] == Reason::DeadlineExceeded);
 }
 
-Test(AdmissionController, waitingCallsAreRefusedWhenTheyTurnHopeless)
+Test(AdmissionController, waitingCallsAreRefusedWhenTheyBecomeTooLate)
 {
     auto gate = warmGate(1);
     gate.offer(1, makeLevel(0, 0));
     gate.offer(2, makeLevel(0, 0), 40_ms);
-    gate.pass(10_ms);
+    gate.advance(10_ms);
     cr_assert(gate.refused.empty());
-    gate.pass(15_ms);
+    gate.advance(15_ms);
     cr_assert(gate.refused[2] == Reason::WaitExceedsDeadline);
 }
 
-Test(AdmissionController, idleBackendIsTriedThoughItWasSlow)
+Test(AdmissionController, idleBackendReceivesCallsAfterASlowdown)
 {
     auto gate = warmGate(4);
     gate.offer(1, makeLevel(0, 0));
@@ -118,14 +118,14 @@
     cr_assert(gate.refused[3] == Reason::WaitExceedsDeadline);
 }
 
-Test(AdmissionController, limitFollowsWhatEndedCallsTell)
+Test(AdmissionController, limitFollowsTheOutcomeOfCalls)
 {
     struct Case
     {
         Completion completion;
         Duration latency;
         int times;
-        std::uint32_t least, most; // Of the limit, which was 8 of 16 slots.
+        std::uint32_t min, max; // Bounds of the limit, which was 8 of 16 slots.
     };
     const Case cases[] = {
             {Completion::Succeeded, 10_ms, 8, 16, 16}, {Completion::Cancelled, 10_ms, 50, 8, 8},
@@ -150,12 +150,12 @@
             gate.completeOldest(it.completion, it.latency);
         }
         const auto limit = gate.controller.report(gate.now).limit;
-        cr_assert(it.least <= limit && limit <= it.most, "%d times %d: limit %u", it.times,
+        cr_assert(it.min <= limit && limit <= it.max, "%d times %d: limit %u", it.times,
                   static_cast<int>(it.completion), limit);
     }
 }
 
-Test(AdmissionController, coldLimitDoublesWithEachRound)
+Test(AdmissionController, initialLimitDoublesWithEachRound)
 {
     auto settings = AdmissionSettings();
     settings.reportedSlots = 110;
@@ -191,7 +191,7 @@
     auto gate = warmGate(1);
     gate.offer(1, makeLevel(0, 0));
     gate.offer(2, makeLevel(0, 0));
-    gate.note(gate.controller.startDraining(gate.now, gate.random));
+    gate.record(gate.controller.startDraining(gate.now, gate.random));
     gate.offer(3, makeLevel(0, 0));
     cr_assert(gate.refused[2] == Reason::Draining && gate.refused[3] == Reason::Draining);
     cr_assert(gate.controller.inFlight() == 1 && !gate.refused.contains(1));
@@ -204,10 +204,11 @@
     auto gate = warmGate(1);
     gate.offer(1, makeLevel(0, 0));
     gate.offer(2, makeLevel(0, 0));
-    gate.note(gate.controller.cancel(2, gate.now, gate.random));
-    gate.note(gate.controller.cancel(1, gate.now, gate.random));
+    gate.record(gate.controller.cancel(2, gate.now, gate.random));
+    gate.record(gate.controller.cancel(1, gate.now, gate.random));
     cr_assert(gate.refused.empty() && gate.controller.queued() == 0);
-    cr_assert_eq(gate.controller.inFlight(), 1, "it holds its place until the backend let go");
+    cr_assert_eq(gate.controller.inFlight(), 1,
+                 "it occupies its slot until the backend server has ended it");
     gate.complete(1, Completion::Cancelled);
     cr_assert_eq(gate.controller.inFlight(), 0);
 }
@@ -231,24 +232,24 @@
     cr_assert(distinct.size() > 900);
 }
 
-Test(AdmissionController, reportsAreOrderedAndTellTheLoad)
+Test(AdmissionController, reportsAreOrderedAndContainTheLoad)
 {
     auto gate = warmGate(2);
-    const auto before = gate.controller.report(gate.now);
-    cr_assert(before.estimatedWait == Duration(0) && before.limit == 2);
+    const auto idle = gate.controller.report(gate.now);
+    cr_assert(idle.estimatedWait == Duration(0) && idle.limit == 2);
     for (auto id = CallId{1}; id <= 5; ++id)
         gate.offer(id, makeLevel(0, 0));
-    const auto after = gate.controller.report(gate.now);
-    cr_assert(after.sequence > before.sequence);
-    cr_assert(after.inFlight == 2 && after.queued == 3);
-    cr_assert(after.estimatedWait == 20_ms);
+    const auto loaded = gate.controller.report(gate.now);
+    cr_assert(loaded.sequence > idle.sequence);
+    cr_assert(loaded.inFlight == 2 && loaded.queued == 3);
+    cr_assert(loaded.estimatedWait == 20_ms);
 }
 
 Test(AdmissionController, overtakenCallsAreRefusedWithAllBelow)
 {
     auto gate = warmGate(1, 6);
     gate.offer(1, makeLevel(0, 0));
-    gate.offer(2, makeLevel(1, 5)); // Is overtaken by all that follow.
+    gate.offer(2, makeLevel(1, 5)); // All later calls overtake this one.
     gate.offer(3, makeLevel(1, 4));
     gate.offer(4, makeLevel(1, 6));
     for (auto id = CallId{10}; id < 15; ++id) {
@@ -261,19 +262,20 @@
     cr_assert(gate.refused.contains(2) && gate.refused.contains(3));
     cr_assert(gate.refused[4] == Reason::Evicted && gate.refused[2] == Reason::Evicted);
     gate.offer(20, makeLevel(1, 3));
-    cr_assert(gate.refused[20] == Reason::BelowFloor, "must not take the place of the refused");
+    cr_assert(gate.refused[20] == Reason::BelowFloor,
+              "must not be served instead of the refused calls");
 }
 
-Test(AdmissionController, stalledBackendRefusesNobodyBeforeItsTime)
+Test(AdmissionController, stalledBackendCausesNoEarlyRefusal)
 {
     auto gate = warmGate(2);
     for (auto id = CallId{1}; id <= 6; ++id)
         gate.offer(id, makeLevel(0, 0), 2000_ms);
-    gate.pass(1500_ms);
+    gate.advance(1500_ms);
     cr_assert(gate.refused.empty());
 }
 
-Test(AdmissionController, replacedBackendStartsCold)
+Test(AdmissionController, replacedBackendStartsAtTheInitialLimit)
 {
     auto settings = AdmissionSettings();
     settings.reportedSlots = 8;
@@ -288,18 +290,18 @@
     cr_assert(running > 20 && gate.controller.report(gate.now).limit == 32);
     gate.controller.didReplaceBackend();
     cr_assert_eq(gate.controller.report(gate.now).limit, 4);
-    cr_assert_eq(gate.controller.inFlight(), running, "they have not ended");
+    cr_assert_eq(gate.controller.inFlight(), running, "the running calls have not ended");
     gate.completeOldest();
-    cr_assert_eq(gate.controller.inFlight(), running - 1, "nobody takes the place above the limit");
+    cr_assert_eq(gate.controller.inFlight(), running - 1, "no call is dispatched above the limit");
 }
 
-Test(AdmissionController, smallerQueueLetsTheLowestGo)
+Test(AdmissionController, smallerQueueBoundRefusesTheLowest)
 {
     auto gate = warmGate(1);
     for (auto id = CallId{1}; id <= 5; ++id)
         gate.offer(id, makeLevel(0, 10 - id));
     gate.controller.setMaxQueue(2);
-    gate.pass(1_ms);
+    gate.advance(1_ms);
     cr_assert(gate.refused.contains(4) && gate.refused.contains(5));
     cr_assert_eq(gate.controller.queued(), 2);
 }
--- a/tests/admission/TestAdmissionProperties.cpp
+++ b/tests/admission/TestAdmissionProperties.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Drives one gate through random events and checks after each what must always hold.
+/// Applies random events to one gate and checks the invariants after each.
 class RandomRun
 {
 public:
@@ -48,7 +48,7 @@
         else if (kind < 93)
             setDeeperFloors();
         else
-            check(m_gate.pass(Duration(0)), std::nullopt);
+            check(m_gate.advance(Duration(0)), std::nullopt);
     }
 
     auto offer() -> void
@@ -58,14 +58,14 @@
                 CallOffer{m_next++, makeLevel(rank, below(128)),
                           m_gate.now + Duration(static_cast<Duration::rep>(below(300'000)))};
         m_calls[call.id] = call;
-        check(m_gate.note(m_gate.controller.offer(call, m_gate.now, m_gate.random)), call);
+        check(m_gate.record(m_gate.controller.offer(call, m_gate.now, m_gate.random)), call);
     }
 
     auto complete() -> void
     {
         const auto id = m_gate.running[below(m_gate.running.size())];
         const auto completion = static_cast<Completion>(below(3) ? 0 : below(5));
-        m_refusedSinceDrop.clear();
+        m_refusedSinceReduction.clear();
         m_calls.erase(id);
         check(m_gate.complete(id, completion, Duration(1000 + static_cast<int>(below(40'000)))),
               std::nullopt);
@@ -78,11 +78,11 @@
             return;
         const auto id = it->first;
         m_calls.erase(it);
-        m_refusedSinceDrop.clear();
-        check(m_gate.note(m_gate.controller.cancel(id, m_gate.now, m_gate.random)), std::nullopt);
+        m_refusedSinceReduction.clear();
+        check(m_gate.record(m_gate.controller.cancel(id, m_gate.now, m_gate.random)), std::nullopt);
     }
 
-    /// True, missing, closed and contradictory ones alike.
+    /// Sets random floors: plausible, missing, closed or contradictory.
     auto setDeeperFloors() -> void
     {
         auto floors = std::vector<Level>(below(6));
@@ -91,7 +91,7 @@
         if (below(20) == 0)
             floors.assign(1, ClosedLevel);
         m_gate.controller.setDeeperFloors(floors);
-        m_refusedSinceDrop.clear();
+        m_refusedSinceReduction.clear();
     }
 
     auto isRunning(CallId id) const -> bool
@@ -99,47 +99,48 @@
         return std::find(m_gate.running.begin(), m_gate.running.end(), id) != m_gate.running.end();
     }
 
-    auto check(const Progress &progress, std::optional<CallOffer> newcomer) -> void
+    auto check(const Progress &progress, std::optional<CallOffer> newCall) -> void
     {
         for (auto it : progress.dispatch)
-            cr_assert(m_calls.at(it).deadline > m_gate.now, "expired work was dispatched");
+            cr_assert(m_calls.at(it).deadline > m_gate.now, "an expired call was dispatched");
         for (const auto &it : progress.refuse) {
             cr_assert(m_calls.contains(it.id) && !isRunning(it.id),
-                      "refused twice, or while it ran");
+                      "a call was refused twice, or while it ran");
             cr_assert(it.retryAfter > Duration(0));
-            // A place that was given up is a drop of load for those who come later.
-            if (it.reason != Reason::Evicted && (!newcomer || it.id != newcomer->id))
-                m_refusedSinceDrop.clear();
+            // A waiting call that is refused reduces the load for later calls, unless it is evicted.
+            if (it.reason != Reason::Evicted && (!newCall || it.id != newCall->id))
+                m_refusedSinceReduction.clear();
         }
         for (const auto &it : progress.refuse) {
-            m_refusedSinceDrop.push_back({m_calls.at(it.id), it.reason});
+            m_refusedSinceReduction.push_back({m_calls.at(it.id), it.reason});
             m_calls.erase(it.id);
         }
         cr_assert_eq(m_gate.controller.inFlight(), m_gate.running.size());
         cr_assert_eq(m_gate.controller.inFlight() + m_gate.controller.queued(), m_calls.size(),
-                     "a call got lost");
+                     "a call was lost");
         checkOrder(progress);
-        if (newcomer && m_calls.contains(newcomer->id))
-            checkNotAfterRefusal(*newcomer);
+        if (newCall && m_calls.contains(newCall->id))
+            checkNotAfterRefusal(*newCall);
     }
 
-    /// Nobody waits, or was dispatched, below one who was refused in the same step.
+    /// Checks that no call waits or was just dispatched whose level is lower than that of a refused call.
     auto checkOrder(const Progress &progress) -> void
     {
-        for (const auto &it : m_refusedSinceDrop) {
+        for (const auto &it : m_refusedSinceReduction) {
             for (const auto &[id, call] : m_calls) {
                 const auto isNew = std::find(progress.dispatch.begin(), progress.dispatch.end(), id)
                                    != progress.dispatch.end();
                 if (!isRunning(id) || isNew)
-                    cr_assert(!wasPassedOver(it, call), "a lower level waits or runs");
+                    cr_assert(!wasWronglyRefused(it, call), "a lower level waits or runs");
             }
         }
     }
 
-    auto checkNotAfterRefusal(const CallOffer &newcomer) -> void
+    /// Checks that the admitted call does not have a lower level than a call refused before.
+    auto checkNotAfterRefusal(const CallOffer &newCall) -> void
     {
-        for (const auto &it : m_refusedSinceDrop)
-            cr_assert(!wasPassedOver(it, newcomer), "a lower level was admitted afterwards");
+        for (const auto &it : m_refusedSinceReduction)
+            cr_assert(!wasWronglyRefused(it, newCall), "a lower level was admitted afterwards");
     }
 
     struct Refused
@@ -148,20 +149,20 @@
         Reason reason;
     };
 
-    static auto wasPassedOver(const Refused &refused, const CallOffer &served) -> bool
+    static auto wasWronglyRefused(const Refused &refused, const CallOffer &served) -> bool
     {
         if (served.level >= refused.call.level)
             return false;
-        // Who has no time left is refused for that alone; a lower call with more time may still be served.
-        const auto isForTime = refused.reason == Reason::WaitExceedsDeadline
-                               || refused.reason == Reason::DeadlineExceeded;
-        return !isForTime || served.deadline <= refused.call.deadline;
+        // A refusal for lack of time depends on the deadline alone. A lower call with a later deadline may be served.
+        const auto isForLackOfTime = refused.reason == Reason::WaitExceedsDeadline
+                                     || refused.reason == Reason::DeadlineExceeded;
+        return !isForLackOfTime || served.deadline <= refused.call.deadline;
     }
 
     Random m_random;
     Gate m_gate;
-    std::map<CallId, CallOffer> m_calls; ///< Neither refused, nor cancelled, nor ended.
-    std::vector<Refused> m_refusedSinceDrop;
+    std::map<CallId, CallOffer> m_calls; ///< Calls that wait or run.
+    std::vector<Refused> m_refusedSinceReduction;
     CallId m_next = 1;
 };
 
--- a/tests/admission/TestCostOrder.cpp
+++ b/tests/admission/TestCostOrder.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Requests of one kind: how they come, and what they cost at the gate.
+/// Requests of one kind: their rate, their cost at the gate and their counts.
 struct Kind
 {
     PathKey path = NoPath;
@@ -16,7 +16,7 @@
     Duration serviceTime{0};
     ClassRank rank = 2;
     std::uint64_t offered = 0;
-    std::uint64_t begun = 0; ///< Sent by an entry that goes by the floors.
+    std::uint64_t sent = 0; ///< Requests at or above the floors, which the entry sends to the gate.
     std::uint64_t served = 0;
 
     [[nodiscard]] auto servedShare() const -> double
@@ -25,7 +25,7 @@
     }
 };
 
-/// Plays kinds of requests against one gate of ten slots, whose entries refuse what stands below the told floors.
+/// Simulates kinds of requests at one gate of ten slots, whose entries refuse requests below the reported floors.
 class MixedLoad
 {
 public:
@@ -33,11 +33,11 @@
         : m_kinds(std::move(kinds))
     {}
 
-    /// Counts over twenty seconds, after five in which floors and costs settle.
-    auto playSettled() -> void
+    /// Counts requests over twenty seconds, after five seconds in which floors and costs become stable.
+    auto runAndCount() -> void
     {
         run(5000_ms);
-        forget();
+        resetCounts();
         run(20'000_ms);
     }
 
@@ -49,16 +49,16 @@
         for (const auto end = m_gate.now + time; m_gate.now < end;) {
             m_gate.now += 1_ms;
             completeDue();
-            noteDispatch(m_gate.note(m_gate.controller.didPassTime(m_gate.now, m_gate.random)));
+            recordDispatch(m_gate.record(m_gate.controller.didPassTime(m_gate.now, m_gate.random)));
             for (auto index = std::size_t{0}; index < m_kinds.size(); ++index)
                 arrive(index);
         }
     }
 
-    auto forget() -> void
+    auto resetCounts() -> void
     {
         for (auto &it : m_kinds)
-            it.offered = it.begun = it.served = 0;
+            it.offered = it.sent = it.served = 0;
     }
 
     auto arrive(std::size_t index) -> void
@@ -70,15 +70,16 @@
             const auto report = m_gate.controller.report(m_gate.now);
             if (level < report.floorFor({kind.rank, kind.path}))
                 continue;
-            ++kind.begun;
+            ++kind.sent;
             const auto id = m_next++;
             m_kindOf[id] = index;
             auto offer = CallOffer{id, level, m_gate.now + 2000_ms, kind.path};
-            noteDispatch(m_gate.note(m_gate.controller.offer(offer, m_gate.now, m_gate.random)));
+            recordDispatch(
+                    m_gate.record(m_gate.controller.offer(offer, m_gate.now, m_gate.random)));
         }
     }
 
-    auto noteDispatch(const Progress &progress) -> void
+    auto recordDispatch(const Progress &progress) -> void
     {
         for (auto it : progress.dispatch)
             m_ends.emplace(m_gate.now + m_kinds[m_kindOf[it]].serviceTime, it);
@@ -91,7 +92,7 @@
             m_ends.erase(m_ends.begin());
             auto &kind = m_kinds[m_kindOf[id]];
             ++kind.served;
-            noteDispatch(m_gate.complete(id, Completion::Succeeded, kind.serviceTime));
+            recordDispatch(m_gate.complete(id, Completion::Succeeded, kind.serviceTime));
         }
     }
 
@@ -105,61 +106,61 @@
 
 } // namespace
 
-Test(CostOrder, underOverloadDearRequestsYieldToManyCheapOnes)
+Test(CostOrder, expensiveRequestsYieldToCheapOnesUnderOverload)
 {
-    // Places for ten: six are wanted by cheap requests, seven by dear ones of the same class. By hash alone both
-    // would lose a quarter of their requests; of the dear ones alone it takes three sevenths of a few.
+    // Cheap requests demand six of the ten slots, expensive requests of the same class demand seven. By hash alone both
+    // kinds would lose a quarter of their requests. Three sevenths of the few expensive requests are enough.
     auto load = MixedLoad({{.path = 11, .perMillisecond = 0.6, .serviceTime = 10_ms},
                            {.path = 22, .perMillisecond = 0.0875, .serviceTime = 80_ms}});
-    load.playSettled();
+    load.runAndCount();
     const auto cheap = load.kind(0).servedShare();
-    const auto dear = load.kind(1).servedShare();
-    cr_assert_gt(cheap, 0.93, "cheap %.3f, dear %.3f", cheap, dear);
-    cr_assert(dear > 0.4 && dear < 0.7, "cheap %.3f, dear %.3f", cheap, dear);
+    const auto expensive = load.kind(1).servedShare();
+    cr_assert_gt(cheap, 0.93, "cheap %.3f, expensive %.3f", cheap, expensive);
+    cr_assert(expensive > 0.4 && expensive < 0.7, "cheap %.3f, expensive %.3f", cheap, expensive);
 }
 
-Test(CostOrder, dearRequestsKeepAShareWhateverCheapOnesWant)
+Test(CostOrder, expensiveRequestsKeepAShareUnderAnyCheapDemand)
 {
     auto load = MixedLoad({{.path = 11, .perMillisecond = 1.3, .serviceTime = 10_ms},
                            {.path = 22, .perMillisecond = 0.0875, .serviceTime = 80_ms}});
-    load.playSettled();
+    load.runAndCount();
     const auto cheap = load.kind(0).servedShare();
-    const auto dear = load.kind(1).servedShare();
-    cr_assert_gt(dear, 0.12, "cheap %.3f, dear %.3f", cheap, dear);
-    cr_assert_gt(cheap, 0.5, "cheap %.3f, dear %.3f", cheap, dear);
+    const auto expensive = load.kind(1).servedShare();
+    cr_assert_gt(expensive, 0.12, "cheap %.3f, expensive %.3f", cheap, expensive);
+    cr_assert_gt(cheap, 0.5, "cheap %.3f, expensive %.3f", cheap, expensive);
 }
 
-Test(CostOrder, aDearRequestOfAnImportantClassNeverYieldsToALesserClass)
+Test(CostOrder, expensiveRequestsNeverYieldToALessImportantClass)
 {
     auto load = MixedLoad({{.path = 11, .perMillisecond = 1.0, .serviceTime = 10_ms, .rank = 2},
                            {.path = 22, .perMillisecond = 0.0875, .serviceTime = 80_ms, .rank = 0},
                            {.path = 33, .perMillisecond = 0.1, .serviceTime = 10_ms, .rank = 0}});
-    load.playSettled();
+    load.runAndCount();
     cr_assert_gt(load.kind(1).servedShare(), 0.98, "%.3f", load.kind(1).servedShare());
     cr_assert_gt(load.kind(2).servedShare(), 0.98, "%.3f", load.kind(2).servedShare());
 }
 
-Test(CostOrder, floorsAreToldByWorkSoThatLittleIsSentInVain)
+Test(CostOrder, floorsCountWorkSoThatTheGateRefusesFewSentRequests)
 {
-    // The important class holds places 24 times as long as the other. Counted by calls, the floor lets in more than fits
-    // until the queue has shown it: 0.122 of what is sent is then refused by the gate.
+    // Requests of the important class occupy slots for 24 times as long as the others. A floor that counts calls instead
+    // of work admits more than fits until the queue grows, and the gate then refuses 0.122 of the sent requests.
     auto load = MixedLoad({{.path = 11, .perMillisecond = 1.0, .serviceTime = 10_ms, .rank = 2},
                            {.path = 22, .perMillisecond = 0.02, .serviceTime = 240_ms, .rank = 0}});
-    load.playSettled();
+    load.runAndCount();
     const auto &cheap = load.kind(0);
-    const auto inVain =
-            static_cast<double>(cheap.begun - cheap.served) / static_cast<double>(cheap.begun);
-    cr_assert_lt(inVain, 0.08, "%.4f of what entries sent was refused by the gate", inVain);
+    const auto refusedShare =
+            static_cast<double>(cheap.sent - cheap.served) / static_cast<double>(cheap.sent);
+    cr_assert_lt(refusedShare, 0.08, "the gate refused %.4f of the sent requests", refusedShare);
     cr_assert_gt(load.kind(1).servedShare(), 0.98);
 }
 
-Test(CostOrder, whereRunningRequestsLoseTheirPlaceNoOthersOfTheirStandingBegin)
+Test(CostOrder, refusedDeeperCallsRaiseTheFloorAboveTheirLevel)
 {
     auto gate = warmGate(1, 2);
     auto offer = [&](CallId id, std::uint64_t hash, bool hasBegun) {
         auto call = CallOffer{id, makeLevel(2, hash), gate.now + 2000_ms};
         call.hasBegun = hasBegun;
-        gate.note(gate.controller.offer(call, gate.now, gate.random));
+        gate.record(gate.controller.offer(call, gate.now, gate.random));
     };
     for (auto id = CallId{1}; id <= 3; ++id)
         offer(id, 100, false);
@@ -167,7 +168,7 @@
     offer(4, 50, false);
     cr_assert(gate.refused.contains(4));
     cr_assert_leq(gate.controller.report(gate.now).floorFor(2), makeLevel(2, 50),
-                  "one that has not begun tells nothing");
+                  "a call from an entry does not raise the floor");
     offer(5, 60, true);
     cr_assert(gate.refused.contains(5));
     cr_assert_eq(gate.controller.report(gate.now).floorFor(2), makeLevel(2, 61));
--- a/tests/admission/TestFloors.cpp
+++ b/tests/admission/TestFloors.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// Offers `perMillisecond` calls of three classes and evenly spread hashes each millisecond to a gate of 10 slots, whose
-/// backend server takes 10 ms: one call each millisecond is its capacity. Calls below the floor stay away, as
-/// entries have it.
+/// Offers `perMillisecond` calls of three classes with uniformly distributed hashes each millisecond to a gate of 10 slots.
+/// The backend server takes 10 ms for a call, so that its capacity is one call each millisecond. Calls below the floor are
+/// not offered, as entries refuse them.
 struct Demand
 {
     Gate gate = warmGate(10);
@@ -21,9 +21,9 @@
     auto run(double perMillisecond, Duration time) -> void
     {
         for (const auto end = gate.now + time; gate.now < end;) {
-            gate.pass(1_ms);
+            gate.advance(1_ms);
             while (!gate.running.empty() && ends[gate.running.front()] <= gate.now)
-                noteDispatch(gate.completeOldest());
+                recordDispatch(gate.completeOldest());
             for (auto due = perMillisecond; randomUnit(random) < due; due -= 1.0)
                 offer();
         }
@@ -33,10 +33,10 @@
     {
         const auto level = makeLevel(static_cast<ClassRank>(randomBelow(random, 3)), random());
         if (level >= floor())
-            noteDispatch(gate.offer(next++, level));
+            recordDispatch(gate.offer(next++, level));
     }
 
-    auto noteDispatch(const Progress &progress) -> void
+    auto recordDispatch(const Progress &progress) -> void
     {
         for (auto it : progress.dispatch)
             ends[it] = gate.now + 10_ms;
@@ -47,7 +47,7 @@
 
 } // namespace
 
-Test(Floors, standAtTheBottomBelowCapacity)
+Test(Floors, stayLowBelowCapacity)
 {
     auto demand = Demand();
     for (auto i = 0; i < 20; ++i) {
@@ -56,9 +56,9 @@
     }
 }
 
-Test(Floors, meetTheCapacityUnderOverloadWithoutOscillation)
+Test(Floors, matchTheCapacityUnderOverloadWithoutOscillation)
 {
-    // Three calls each millisecond, a third of them of each class: class 0 alone fits.
+    // Three calls arrive each millisecond, a third of them of each class. Only class 0 fits.
     auto demand = Demand();
     demand.run(3.0, 1000_ms);
     auto admitted = demand.next;
@@ -68,7 +68,7 @@
         cr_assert(floor >= makeLevel(1, 64) && floor <= makeLevel(0, 64), "floor %u", floor.value);
     }
     admitted = demand.next - admitted;
-    cr_assert(admitted > 1900 && admitted < 2150, "%lu calls sent for 2000 places", admitted);
+    cr_assert(admitted > 1900 && admitted < 2150, "%lu calls sent, 2000 fit", admitted);
 }
 
 Test(Floors, fallWithinAFractionOfASecond)
@@ -80,7 +80,7 @@
     cr_assert(demand.floor() <= makeLevel(2, 16), "floor %u", demand.floor().value);
 }
 
-Test(Floors, fallThoughNobodyCalls)
+Test(Floors, fallWithoutCalls)
 {
     auto demand = Demand();
     demand.run(5.0, 1000_ms);
@@ -88,12 +88,12 @@
     cr_assert_eq(demand.floor().value, LowestLevel.value);
 }
 
-Test(Floors, neverShutOutTheOnlyClass)
+Test(Floors, neverRefuseTheOnlyClassEntirely)
 {
     auto gate = warmGate(1);
     auto next = CallId{1};
     for (auto i = 0; i < 300; ++i) {
-        gate.pass(10_ms);
+        gate.advance(10_ms);
         if (!gate.running.empty())
             gate.completeOldest();
         for (auto n = 0; n < 5; ++n)
@@ -102,7 +102,7 @@
     }
 }
 
-Test(Floors, reportsCarryTheGreaterOfOwnAndDeeperByClass)
+Test(Floors, reportsContainTheMaximumOfOwnAndDeeperFloorsByClass)
 {
     auto gate = warmGate(1);
     gate.controller.setDeeperFloors({makeLevel(0, 9), makeLevel(0, 3)});
@@ -112,7 +112,7 @@
     cr_assert_eq(report.floorFor(9).value, makeLevel(0, 3).value);
 }
 
-Test(Floors, deeperOnesRefuseOnlyWhereLowerClassesAreRefusedToo)
+Test(Floors, deeperFloorsRefuseAClassOnlyWithAllLessImportantOnes)
 {
     struct Case
     {
@@ -126,8 +126,8 @@
             {"below the floor", {makeLevel(1, 0)}, makeLevel(2, 0), true},
             {"at the floor", {makeLevel(1, 0)}, makeLevel(1, 0), false},
             {"closed", {ClosedLevel}, makeLevel(0, 127), true},
-            {"lie: the top class alone", {ClosedLevel, LowestLevel}, makeLevel(0, 0), false},
-            {"lie: the middle class",
+            {"wrong: the top class alone", {ClosedLevel, LowestLevel}, makeLevel(0, 0), false},
+            {"wrong: the middle class alone",
              {LowestLevel, ClosedLevel, LowestLevel},
              makeLevel(1, 0),
              false},
@@ -144,7 +144,7 @@
     }
 }
 
-Test(Floors, deeperOnesTakeWaitingCallsAlong)
+Test(Floors, deeperFloorsApplyToWaitingCalls)
 {
     auto gate = warmGate(1);
     gate.offer(1, makeLevel(0, 0));
@@ -154,28 +154,28 @@
     cr_assert(gate.refused[2] == Reason::BelowFloor && gate.refused[3] == Reason::BelowFloor);
 }
 
-Test(Floors, staleDeeperOnesLapse)
+Test(Floors, staleDeeperFloorsExpire)
 {
     auto gate = warmGate(1);
     gate.controller.setDeeperFloors({ClosedLevel});
-    gate.pass(10_ms);
+    gate.advance(10_ms);
     cr_assert_eq(gate.controller.report(gate.now).floorFor(0).value, ClosedLevel.value);
-    gate.pass(900_ms);
+    gate.advance(900_ms);
     gate.controller.setDeeperFloors({ClosedLevel});
-    gate.pass(900_ms);
+    gate.advance(900_ms);
     cr_assert_eq(gate.controller.report(gate.now).floorFor(0).value, ClosedLevel.value);
-    gate.pass(1100_ms);
+    gate.advance(1100_ms);
     gate.offer(1, makeLevel(5, 0));
     cr_assert(gate.refused.empty());
     cr_assert_eq(gate.controller.report(gate.now).floorFor(0).value, LowestLevel.value);
 }
 
-Test(Floors, stayOutOfAClassWhileALowerOneWaits)
+Test(Floors, doNotEnterAClassWhileALessImportantOneWaits)
 {
     auto gate = warmGate(2);
     auto next = CallId{1};
     for (auto i = 0; i < 200; ++i) {
-        gate.pass(5_ms);
+        gate.advance(5_ms);
         if (!gate.running.empty())
             gate.completeOldest();
         for (auto n = 0; n < 4; ++n, ++next)
@@ -187,7 +187,7 @@
     cr_assert(gate.controller.report(gate.now).floorFor(0) > makeLevel(1, 0));
 }
 
-Test(Floors, areEnforcedOnWhoWouldBeLastInAFullGate)
+Test(Floors, areEnforcedOnTheLastCallAtAFullGate)
 {
     auto demand = Demand();
     demand.run(3.0, 2000_ms);
--- a/tests/admission/TestPathFloors.cpp
+++ b/tests/admission/TestPathFloors.cpp
@@ -17,7 +17,7 @@
     return !controller.offer(offer, Now, random).refuse.empty();
 }
 
-Test(PathFloors, aFloorBelowShutsOutThePathThatNeedsIt)
+Test(PathFloors, floorOfAPathRefusesOnlyThatPath)
 {
     auto controller = AdmissionController({});
     controller.setDeeperFloors({}, {{ToMaps, makeLevel(2, 100)}});
@@ -26,7 +26,7 @@
     cr_assert(!isRefused(controller, 3, NoPath));
 }
 
-Test(PathFloors, reportsTellThemBesideTheClassFloors)
+Test(PathFloors, reportsContainPathAndClassFloors)
 {
     auto controller = AdmissionController({});
     controller.setDeeperFloors({}, {{ToMaps, makeLevel(2, 100)}});
@@ -36,7 +36,7 @@
     cr_assert(report.floorFor(2) == LowestLevel);
 }
 
-Test(PathFloors, nobodyWhoTellsThemAnyMoreMakesThemLapse)
+Test(PathFloors, expireUnlessTheyAreSetAgain)
 {
     auto controller = AdmissionController({});
     controller.setDeeperFloors({}, {{ToMaps, makeLevel(2, 100)}});
@@ -44,7 +44,7 @@
     cr_assert(controller.report(Now + 1500ms).floorFor({2, ToMaps}) == LowestLevel);
 }
 
-Test(FixedLimit, slotsThatAreExactHoldFromTheFirstCallOn)
+Test(FixedLimit, followsTheReportedSlotsFromTheStart)
 {
     auto settings = AdmissionSettings();
     settings.reportedSlots = 9;
@@ -54,14 +54,14 @@
     auto random = Random(1);
     controller.offer({1, makeLevel(0, 1), Now + 5s}, Now, random);
     controller.didComplete(1, Completion::Shed, 10ms, Now, random);
-    cr_assert_eq(controller.report(Now).limit, 9, "nothing is learnt from what was shed");
+    cr_assert_eq(controller.report(Now).limit, 9, "a shed call does not change the limit");
     controller.setReportedSlots(12);
     cr_assert_eq(controller.report(Now).limit, 11);
     controller.didReplaceBackend();
     cr_assert_eq(controller.report(Now).limit, 11);
 }
 
-Test(FixedLimit, aTwentiethOfTheSlotsStaysFreeWhereThatIsLessThanATenth)
+Test(FixedLimit, aTwentiethOfTheSlotsStaysFreeFromTenSlotsOn)
 {
     struct Case
     {
--- a/tests/admission/TestRequestCosts.cpp
+++ b/tests/admission/TestRequestCosts.cpp
@@ -9,7 +9,7 @@
 
 static constexpr auto Start = TimePoint{1h};
 static constexpr auto Cheap = FloorKey(2, 11);
-static constexpr auto Dear = FloorKey(2, 22);
+static constexpr auto Expensive = FloorKey(2, 22);
 
 static auto measure(RequestCosts &costs, FloorKey kind, Duration latency,
                     std::uint32_t callsPerRoot = 1) -> void
@@ -20,7 +20,7 @@
     }
 }
 
-Test(ServingOrder, risesWithTheLevelWhateverYields)
+Test(ServingOrder, risesWithTheLevelForAnyNumberOfYieldingLevels)
 {
     for (auto yielding = 0U; yielding < HashesPerClass; ++yielding) {
         for (auto hash = 1U; hash < HashesPerClass; ++hash) {
@@ -28,12 +28,12 @@
             const auto order = servingOrderOf(makeLevel(2, hash), yielding);
             cr_assert(below <= order);
             cr_assert(order < servingOrderOf(makeLevel(1, 0), HashesPerClass - 1),
-                      "a class never passes the next one");
+                      "a class stays below the next more important one");
         }
     }
 }
 
-Test(ServingOrder, whatYieldsStandsBelowAllElseOfItsClass)
+Test(ServingOrder, yieldingLevelsAreLastInTheirClass)
 {
     const auto lowestOther = servingOrderOf(makeLevel(2, 0), 0);
     cr_assert(servingOrderOf(makeLevel(2, 63), 64) < lowestOther);
@@ -41,7 +41,7 @@
     cr_assert(servingOrderOf(makeLevel(2, 0), 64) > servingOrderOf(makeLevel(3, 127), 0));
 }
 
-Test(ServingOrder, floorsComeBackAsTheLevelsThatTheyLetIn)
+Test(ServingOrder, floorsConvertToTheLowestAdmittedLevel)
 {
     for (auto yielding = 0U; yielding < HashesPerClass; yielding += 9) {
         for (auto value = 0U; value <= ClosedOrder.value; value += 7) {
@@ -57,7 +57,7 @@
     }
 }
 
-Test(RequestCosts, onlyWhatCostsAMultipleYieldsAndNotAllOfIt)
+Test(RequestCosts, onlyAPartOfKindsWithAMultipleOfTheCostYields)
 {
     struct Case
     {
@@ -69,9 +69,9 @@
                            Case{480ms, 1, true}, Case{30ms, 12, true}}) {
         auto costs = RequestCosts();
         measure(costs, Cheap, 10ms, 4);
-        measure(costs, Dear, it.latency, it.callsPerRoot);
+        measure(costs, Expensive, it.latency, it.callsPerRoot);
         costs.didPassTime(Start + 1s);
-        const auto yielding = costs.yieldingLevelsOf(Dear);
+        const auto yielding = costs.yieldingLevelsOf(Expensive);
         cr_assert_eq(yielding > 0, it.yields, "%ld us, %u calls", it.latency.count(),
                      it.callsPerRoot);
         cr_assert_lt(yielding, HashesPerClass * 3 / 4, "no kind starves");
@@ -79,29 +79,29 @@
     }
 }
 
-Test(RequestCosts, classesAreNotComparedAndLittleIsNoProof)
+Test(RequestCosts, comparesKindsWithinAClassAfterEnoughCalls)
 {
     auto costs = RequestCosts();
     measure(costs, FloorKey(0, 11), 10ms);
-    measure(costs, Dear, 480ms);
+    measure(costs, Expensive, 480ms);
     costs.didPassTime(Start + 1s);
-    cr_assert_eq(costs.yieldingLevelsOf(Dear), 0, "the cheap kind is of another class");
+    cr_assert_eq(costs.yieldingLevelsOf(Expensive), 0, "the cheap kind is of another class");
     costs.didOffer(Cheap, 1, Start);
     costs.didMeasure(Cheap, 10ms);
     costs.didPassTime(Start + 2s);
-    cr_assert_eq(costs.yieldingLevelsOf(Dear), 0, "one call tells nothing");
+    cr_assert_eq(costs.yieldingLevelsOf(Expensive), 0, "one call is not enough for a mean");
 }
 
-Test(RequestCosts, kindsThatNoLongerComeAreForgotten)
+Test(RequestCosts, removesKindsWithoutCalls)
 {
     auto costs = RequestCosts();
     measure(costs, Cheap, 10ms);
     costs.didPassTime(Start + 1s);
     for (auto now = Start + 2s; now < Start + 40s; now += 1s) {
-        costs.didOffer(Dear, 1, now);
-        costs.didMeasure(Dear, 480ms);
+        costs.didOffer(Expensive, 1, now);
+        costs.didMeasure(Expensive, 480ms);
         costs.didPassTime(now);
     }
-    cr_assert_eq(costs.yieldingLevelsOf(Dear), 0, "nobody is left to yield to");
+    cr_assert_eq(costs.yieldingLevelsOf(Expensive), 0, "no cheaper kind is left");
     cr_assert_eq(costs.serviceTimeOf(Cheap, 7ms), 7ms);
 }
