--- a/include/stairspur/admission/AdmissionController.h
+++ b/include/stairspur/admission/AdmissionController.h
@@ -60,8 +60,8 @@
     Duration retryAfter{0}; ///< Time after which the caller may retry.
 };
 
-/// The decisions that follow from one event, for the gate to carry out now.
-struct Progress
+/// The actions that follow from one event, which the gate carries out at once.
+struct AdmissionActions
 {
     std::vector<CallId> dispatch; ///< Calls to send to the backend server.
     std::vector<Refusal> refuse;  ///< Calls to answer with `not-run`; none of them was dispatched.
@@ -89,19 +89,19 @@
 
     /// Accepts a call, whose id is unique among the waiting and running calls. The call is among `dispatch` or `refuse`,
     /// or else it waits. Calls of lower levels may be refused in its favour.
-    auto offer(const CallOffer &offer, TimePoint now, Random &random) -> Progress;
+    auto offer(const CallOffer &offer, TimePoint now, Random &random) -> AdmissionActions;
 
     /// Records that a dispatched call ended after `latency` at the backend server.
     auto didComplete(CallId id, Completion completion, Duration latency, TimePoint now,
-                     Random &random) -> Progress;
+                     Random &random) -> AdmissionActions;
 
     /// Records that the caller has closed the call. A waiting call is dropped without a refusal. For a dispatched call,
     /// didComplete() must follow when the backend server has ended it.
-    auto cancel(CallId id, TimePoint now, Random &random) -> Progress;
+    auto cancel(CallId id, TimePoint now, Random &random) -> AdmissionActions;
 
     /// Refuses the waiting calls that can no longer finish before their deadlines. Must be called every few milliseconds
     /// while calls wait.
-    auto didPassTime(TimePoint now, Random &random) -> Progress;
+    auto didPassTime(TimePoint now, Random &random) -> AdmissionActions;
 
     /// Sets the number of slots that the backend server reports.
     auto setReportedSlots(std::uint32_t slots) -> void;
@@ -119,10 +119,10 @@
     auto setDeeperFloors(std::vector<Level> floors, std::vector<PathFloor> pathFloors = {}) -> void;
 
     /// Refuses all waiting calls. Later calls are admitted as before.
-    auto refuseWaiting(Reason reason, TimePoint now, Random &random) -> Progress;
+    auto refuseWaiting(Reason reason, TimePoint now, Random &random) -> AdmissionActions;
 
     /// Refuses all new and waiting calls from now on. Running calls continue to their end.
-    auto startDraining(TimePoint now, Random &random) -> Progress;
+    auto startDraining(TimePoint now, Random &random) -> AdmissionActions;
 
     /// Returns the number of running calls.
     [[nodiscard]] auto inFlight() const -> std::uint32_t;
--- a/source/admission/AdmissionController.cpp
+++ b/source/admission/AdmissionController.cpp
@@ -15,23 +15,24 @@
 auto AdmissionController::operator=(AdmissionController &&) noexcept
         -> AdmissionController & = default;
 
-auto AdmissionController::offer(const CallOffer &offer, TimePoint now, Random &random) -> Progress
+auto AdmissionController::offer(const CallOffer &offer, TimePoint now, Random &random)
+        -> AdmissionActions
 {
     return m_state->offer(offer, now, random);
 }
 
 auto AdmissionController::didComplete(CallId id, Completion completion, Duration latency,
-                                      TimePoint now, Random &random) -> Progress
+                                      TimePoint now, Random &random) -> AdmissionActions
 {
     return m_state->didComplete(id, completion, latency, now, random);
 }
 
-auto AdmissionController::cancel(CallId id, TimePoint now, Random &random) -> Progress
+auto AdmissionController::cancel(CallId id, TimePoint now, Random &random) -> AdmissionActions
 {
     return m_state->cancel(id, now, random);
 }
 
-auto AdmissionController::didPassTime(TimePoint now, Random &random) -> Progress
+auto AdmissionController::didPassTime(TimePoint now, Random &random) -> AdmissionActions
 {
     return m_state->didPassTime(now, random);
 }
@@ -57,12 +58,13 @@
     m_state->setDeeperFloors(std::move(floors), std::move(pathFloors));
 }
 
-auto AdmissionController::refuseWaiting(Reason reason, TimePoint now, Random &random) -> Progress
+auto AdmissionController::refuseWaiting(Reason reason, TimePoint now, Random &random)
+        -> AdmissionActions
 {
     return m_state->refuseWaiting(reason, now, random);
 }
 
-auto AdmissionController::startDraining(TimePoint now, Random &random) -> Progress
+auto AdmissionController::startDraining(TimePoint now, Random &random) -> AdmissionActions
 {
     return m_state->startDraining(now, random);
 }
--- a/source/admission/State.cpp
+++ b/source/admission/State.cpp
@@ -45,35 +45,35 @@
 {}
 
 auto AdmissionController::State::offer(const CallOffer &offer, TimePoint now, Random &random)
-        -> Progress
+        -> AdmissionActions
 {
     observe(now);
-    auto progress = Progress();
+    auto actions = AdmissionActions();
     m_retryAfter.didOffer();
     m_costs.didOffer(offer.kind(), offer.callsPerRoot, now);
     const auto order = orderOf(offer);
     m_floor.didArrive(order, serviceTimeOf(offer.kind()));
     // Waiting calls that have become too late are refused first, so that only the others count for the new call.
-    processQueue(std::nullopt, now, random, progress);
+    processQueue(std::nullopt, now, random, actions);
     const auto refusal = refusalOf({offer, order}, now);
     if (refusal == Reason::None)
         m_queue.push({offer, order});
     else
-        refuse(offer.id, refusal, random, progress);
-    processQueue(offer.id, now, random, progress);
-    return progress;
+        refuse(offer.id, refusal, random, actions);
+    processQueue(offer.id, now, random, actions);
+    return actions;
 }
 
 auto AdmissionController::State::didComplete(CallId id, Completion completion, Duration latency,
-                                             TimePoint now, Random &random) -> Progress
+                                             TimePoint now, Random &random) -> AdmissionActions
 {
     observe(now);
-    auto progress = Progress();
+    auto actions = AdmissionActions();
     const auto inFlightBefore = inFlight();
     const auto ended = m_running.extract(id);
     if (!ended) {
         assert(false && "only a dispatched call can complete, and only once");
-        return progress;
+        return actions;
     }
     didReduceLoad();
     m_limit.didComplete({completion, latency, m_serviceTime.mean(), inFlightBefore}, now);
@@ -83,29 +83,30 @@
     }
     if (completion == Completion::TimedOut)
         m_serviceTime.didExceed(latency);
-    processQueue(std::nullopt, now, random, progress);
-    return progress;
+    processQueue(std::nullopt, now, random, actions);
+    return actions;
 }
 
-auto AdmissionController::State::cancel(CallId id, TimePoint now, Random &random) -> Progress
+auto AdmissionController::State::cancel(CallId id, TimePoint now, Random &random)
+        -> AdmissionActions
 {
     observe(now);
-    auto progress = Progress();
+    auto actions = AdmissionActions();
     didReduceLoad();
     if (m_queue.remove(id))
-        processQueue(std::nullopt, now, random, progress);
-    return progress;
+        processQueue(std::nullopt, now, random, actions);
+    return actions;
 }
 
-auto AdmissionController::State::didPassTime(TimePoint now, Random &random) -> Progress
+auto AdmissionController::State::didPassTime(TimePoint now, Random &random) -> AdmissionActions
 {
     observe(now);
-    auto progress = Progress();
-    processQueue(std::nullopt, now, random, progress);
-    return progress;
+    auto actions = AdmissionActions();
+    processQueue(std::nullopt, now, random, actions);
+    return actions;
 }
 
-auto AdmissionController::State::startDraining(TimePoint now, Random &random) -> Progress
+auto AdmissionController::State::startDraining(TimePoint now, Random &random) -> AdmissionActions
 {
     observe(now);
     m_isDraining = true;
@@ -113,14 +114,14 @@
 }
 
 auto AdmissionController::State::refuseWaiting(Reason reason, TimePoint now, Random &random)
-        -> Progress
+        -> AdmissionActions
 {
     observe(now);
-    auto progress = Progress();
+    auto actions = AdmissionActions();
     const auto all = m_queue.removeIf([](const QueuedCall &, std::uint32_t) { return true; });
     for (const auto &it : all)
-        refuse(it.id, reason, random, progress);
-    return progress;
+        refuse(it.id, reason, random, actions);
+    return actions;
 }
 
 auto AdmissionController::State::didReplaceBackend() -> void
@@ -197,27 +198,28 @@
 }
 
 auto AdmissionController::State::processQueue(std::optional<CallId> newCall, TimePoint now,
-                                              Random &random, Progress &progress) -> void
+                                              Random &random, AdmissionActions &actions) -> void
 {
-    refuseBelowDeeperFloors(random, progress);
-    dispatchFree(now, random, progress);
+    refuseBelowDeeperFloors(random, actions);
+    dispatchFree(now, random, actions);
     const auto before = queued();
-    refuseTooLate(now, random, progress);
+    refuseTooLate(now, random, actions);
     // Calls that become too late because of a new call show that load has grown.
     if (!newCall && queued() < before)
         didReduceLoad();
-    boundQueue(newCall, random, progress);
-    refuseOvertaken(random, progress);
+    boundQueue(newCall, random, actions);
+    refuseOvertaken(random, actions);
 }
 
-auto AdmissionController::State::refuseBelowDeeperFloors(Random &random, Progress &progress) -> void
+auto AdmissionController::State::refuseBelowDeeperFloors(Random &random, AdmissionActions &actions)
+        -> void
 {
     // Calls that waited when the floor rose must not be served while calls of greater levels are refused.
     const auto isBelow = [&](const QueuedCall &call, std::uint32_t) {
         return isBelowDeeperFloor(call.offer);
     };
     for (const auto &it : m_queue.removeIf(isBelow))
-        refuse(it.id, Reason::BelowFloor, random, progress);
+        refuse(it.id, Reason::BelowFloor, random, actions);
 }
 
 auto AdmissionController::State::isBelowDeeperFloor(const CallOffer &call) const -> bool
@@ -225,28 +227,28 @@
     return call.level < m_deeper.enforcedFloorFor(call.floorKey());
 }
 
-auto AdmissionController::State::dispatchFree(TimePoint now, Random &random, Progress &progress)
-        -> void
+auto AdmissionController::State::dispatchFree(TimePoint now, Random &random,
+                                              AdmissionActions &actions) -> void
 {
     while (!m_queue.isEmpty() && inFlight() < m_limit.limit()) {
         const auto call = m_queue.popFirst();
         if (call.deadline <= now) {
-            refuse(call.id, Reason::DeadlineExceeded, random, progress);
+            refuse(call.id, Reason::DeadlineExceeded, random, actions);
             continue;
         }
         // An idle backend server always receives the call. A service time that was measured during a slowdown would
         // otherwise refuse all calls, and would never be updated.
         if (inFlight() > 0 && now + m_serviceTime.mean() > call.deadline) {
-            refuse(call.id, Reason::WaitExceedsDeadline, random, progress);
+            refuse(call.id, Reason::WaitExceedsDeadline, random, actions);
             continue;
         }
         m_running.emplace(call.id, call.kind());
-        progress.dispatch.push_back(call.id);
+        actions.dispatch.push_back(call.id);
     }
 }
 
-auto AdmissionController::State::refuseTooLate(TimePoint now, Random &random, Progress &progress)
-        -> void
+auto AdmissionController::State::refuseTooLate(TimePoint now, Random &random,
+                                               AdmissionActions &actions) -> void
 {
     const auto isTooLate = [&](const QueuedCall &call, std::uint32_t position) {
         const auto &offer = call.offer;
@@ -255,11 +257,11 @@
     for (const auto &it : m_queue.removeIf(isTooLate)) {
         const auto hasExpired = it.deadline <= now;
         const auto reason = hasExpired ? Reason::DeadlineExceeded : Reason::WaitExceedsDeadline;
-        refuse(it.id, reason, random, progress);
+        refuse(it.id, reason, random, actions);
     }
 }
 
-auto AdmissionController::State::refuseOvertaken(Random &random, Progress &progress) -> void
+auto AdmissionController::State::refuseOvertaken(Random &random, AdmissionActions &actions) -> void
 {
     const auto order = m_queue.greatestOvertaken(queueBound());
     if (!order)
@@ -271,20 +273,20 @@
     };
     for (const auto &it : m_queue.removeIf(isOvertaken)) {
         raiseFloorIfDeeper(it);
-        refuse(it.id, Reason::Evicted, random, progress);
+        refuse(it.id, Reason::Evicted, random, actions);
     }
     m_enforcedFloor = std::max(m_enforcedFloor, *order);
 }
 
 auto AdmissionController::State::boundQueue(std::optional<CallId> newCall, Random &random,
-                                            Progress &progress) -> void
+                                            AdmissionActions &actions) -> void
 {
     const auto bound = queueBound();
     while (m_queue.size() > bound) {
         const auto call = m_queue.popLast();
         raiseFloorIfDeeper(call);
         const auto reason = call.id == newCall ? Reason::QueueFull : Reason::Evicted;
-        refuse(call.id, reason, random, progress);
+        refuse(call.id, reason, random, actions);
     }
 }
 
@@ -297,9 +299,9 @@
 }
 
 auto AdmissionController::State::refuse(CallId id, Reason reason, Random &random,
-                                        Progress &progress) -> void
+                                        AdmissionActions &actions) -> void
 {
-    progress.refuse.push_back({id, reason, m_retryAfter.didRefuse(random)});
+    actions.refuse.push_back({id, reason, m_retryAfter.didRefuse(random)});
 }
 
 auto AdmissionController::State::waitBehind(std::uint32_t ahead) const -> Duration
--- a/source/admission/State.h
+++ b/source/admission/State.h
@@ -23,13 +23,13 @@
 public:
     explicit State(const AdmissionSettings &settings);
 
-    auto offer(const CallOffer &offer, TimePoint now, Random &random) -> Progress;
+    auto offer(const CallOffer &offer, TimePoint now, Random &random) -> AdmissionActions;
     auto didComplete(CallId id, Completion completion, Duration latency, TimePoint now,
-                     Random &random) -> Progress;
-    auto cancel(CallId id, TimePoint now, Random &random) -> Progress;
-    auto didPassTime(TimePoint now, Random &random) -> Progress;
-    auto refuseWaiting(Reason reason, TimePoint now, Random &random) -> Progress;
-    auto startDraining(TimePoint now, Random &random) -> Progress;
+                     Random &random) -> AdmissionActions;
+    auto cancel(CallId id, TimePoint now, Random &random) -> AdmissionActions;
+    auto didPassTime(TimePoint now, Random &random) -> AdmissionActions;
+    auto refuseWaiting(Reason reason, TimePoint now, Random &random) -> AdmissionActions;
+    auto startDraining(TimePoint now, Random &random) -> AdmissionActions;
     auto report(TimePoint now) -> LoadReport;
 
     auto didReplaceBackend() -> void;
@@ -54,17 +54,18 @@
     /// Processes the queue after any change: dispatches calls, refuses those that are too late, and bounds the length.
     /// `newCall` is the call that was just offered.
     auto processQueue(std::optional<CallId> newCall, TimePoint now, Random &random,
-                      Progress &progress) -> void;
-    auto refuseBelowDeeperFloors(Random &random, Progress &progress) -> void;
-    auto dispatchFree(TimePoint now, Random &random, Progress &progress) -> void;
+                      AdmissionActions &actions) -> void;
+    auto refuseBelowDeeperFloors(Random &random, AdmissionActions &actions) -> void;
+    auto dispatchFree(TimePoint now, Random &random, AdmissionActions &actions) -> void;
     /// Refuses the calls that are expected to end after their deadlines.
-    auto refuseTooLate(TimePoint now, Random &random, Progress &progress) -> void;
+    auto refuseTooLate(TimePoint now, Random &random, AdmissionActions &actions) -> void;
     /// Refuses the calls that a full queue of greater ones has overtaken, and all calls of lower order.
-    auto refuseOvertaken(Random &random, Progress &progress) -> void;
-    auto boundQueue(std::optional<CallId> newCall, Random &random, Progress &progress) -> void;
+    auto refuseOvertaken(Random &random, AdmissionActions &actions) -> void;
+    auto boundQueue(std::optional<CallId> newCall, Random &random, AdmissionActions &actions)
+            -> void;
     /// Raises the floor above a refused call if a running call makes it.
     auto raiseFloorIfDeeper(const CallOffer &offer) -> void;
-    auto refuse(CallId id, Reason reason, Random &random, Progress &progress) -> void;
+    auto refuse(CallId id, Reason reason, Random &random, AdmissionActions &actions) -> void;
 
     /// Returns the time until a waiting call with `ahead` calls before it is dispatched, while no slot is free.
     [[nodiscard]] auto waitBehind(std::uint32_t ahead) const -> Duration;
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -333,11 +333,11 @@
     co_return answer;
 }
 
-auto Gate::apply(const admission::Progress &progress) -> void
+auto Gate::apply(const admission::AdmissionActions &actions) -> void
 {
-    for (const auto id : progress.dispatch)
+    for (const auto id : actions.dispatch)
         decide(id, {id, Reason::None, Duration::zero()});
-    for (const auto &it : progress.refuse)
+    for (const auto &it : actions.refuse)
         decide(it.id, it);
 }
 
--- a/source/node/Gate.h
+++ b/source/node/Gate.h
@@ -85,7 +85,7 @@
     auto dispatch(CallId id, transport::CallRequest request, Fingerprint fingerprint,
                   TimePoint deadline, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
-    auto apply(const admission::Progress &progress) -> void;
+    auto apply(const admission::AdmissionActions &actions) -> void;
     auto decide(CallId id, const admission::Refusal &refusal) -> void;
     auto refusal(const transport::CallRequest &request, Reason reason, Duration retryAfter)
             -> transport::CallAnswer;
--- a/tests/admission/Gate.h
+++ b/tests/admission/Gate.h
@@ -23,7 +23,7 @@
     {}
 
     /// Offers a call whose deadline is in `remaining`.
-    auto offer(CallId id, Level level, Duration remaining = 2000_ms) -> Progress
+    auto offer(CallId id, Level level, Duration remaining = 2000_ms) -> AdmissionActions
     {
         levels[id] = level;
         return record(controller.offer({id, level, now + remaining}, now, random));
@@ -31,7 +31,7 @@
 
     /// Ends a running call.
     auto complete(CallId id, Completion completion = Completion::Succeeded,
-                  Duration latency = 10_ms) -> Progress
+                  Duration latency = 10_ms) -> AdmissionActions
     {
         ended.insert(id);
         running.erase(std::find(running.begin(), running.end(), id));
@@ -40,7 +40,7 @@
 
     /// Ends the call that has run for the longest time.
     auto completeOldest(Completion completion = Completion::Succeeded, Duration latency = 10_ms)
-            -> Progress
+            -> AdmissionActions
     {
         return complete(running.front(), completion, latency);
     }
@@ -58,20 +58,20 @@
     }
 
     /// Advances the clock by `time`.
-    auto advance(Duration time) -> Progress
+    auto advance(Duration time) -> AdmissionActions
     {
         now += time;
         return record(controller.didPassTime(now, random));
     }
 
-    /// Records the outcome of the calls in `progress`.
-    auto record(Progress progress) -> Progress
+    /// Records the outcome of the calls in `actions`.
+    auto record(AdmissionActions actions) -> AdmissionActions
     {
-        for (auto it : progress.dispatch)
+        for (auto it : actions.dispatch)
             running.push_back(it);
-        for (const auto &it : progress.refuse)
+        for (const auto &it : actions.refuse)
             refused[it.id] = it.reason;
-        return progress;
+        return actions;
     }
 
     AdmissionController controller;
--- a/tests/admission/TestAdmissionController.cpp
+++ b/tests/admission/TestAdmissionController.cpp
@@ -42,10 +42,10 @@
         gate.offer(1, makeLevel(0, 0));
         gate.offer(2, makeLevel(1, 7));
         gate.offer(3, makeLevel(1, 7));
-        const auto progress = gate.offer(9, it.newcomer);
-        cr_assert_eq(progress.refuse.size(), 1);
-        cr_assert_eq(progress.refuse[0].id, it.refused);
-        cr_assert(progress.refuse[0].reason == it.reason);
+        const auto actions = gate.offer(9, it.newcomer);
+        cr_assert_eq(actions.refuse.size(), 1);
+        cr_assert_eq(actions.refuse[0].id, it.refused);
+        cr_assert(actions.refuse[0].reason == it.reason);
         cr_assert_eq(gate.controller.queued(), 3);
     }
 }
--- a/tests/admission/TestAdmissionProperties.cpp
+++ b/tests/admission/TestAdmissionProperties.cpp
@@ -99,11 +99,11 @@
         return std::find(m_gate.running.begin(), m_gate.running.end(), id) != m_gate.running.end();
     }
 
-    auto check(const Progress &progress, std::optional<CallOffer> newCall) -> void
+    auto check(const AdmissionActions &actions, std::optional<CallOffer> newCall) -> void
     {
-        for (auto it : progress.dispatch)
+        for (auto it : actions.dispatch)
             cr_assert(m_calls.at(it).deadline > m_gate.now, "an expired call was dispatched");
-        for (const auto &it : progress.refuse) {
+        for (const auto &it : actions.refuse) {
             cr_assert(m_calls.contains(it.id) && !isRunning(it.id),
                       "a call was refused twice, or while it ran");
             cr_assert(it.retryAfter > Duration(0));
@@ -111,25 +111,25 @@
             if (it.reason != Reason::Evicted && (!newCall || it.id != newCall->id))
                 m_refusedSinceReduction.clear();
         }
-        for (const auto &it : progress.refuse) {
+        for (const auto &it : actions.refuse) {
             m_refusedSinceReduction.push_back({m_calls.at(it.id), it.reason});
             m_calls.erase(it.id);
         }
         cr_assert_eq(m_gate.controller.inFlight(), m_gate.running.size());
         cr_assert_eq(m_gate.controller.inFlight() + m_gate.controller.queued(), m_calls.size(),
                      "a call was lost");
-        checkOrder(progress);
+        checkOrder(actions);
         if (newCall && m_calls.contains(newCall->id))
             checkNotAfterRefusal(*newCall);
     }
 
     /// Checks that no call waits or was just dispatched whose level is lower than that of a refused call.
-    auto checkOrder(const Progress &progress) -> void
+    auto checkOrder(const AdmissionActions &actions) -> void
     {
         for (const auto &it : m_refusedSinceReduction) {
             for (const auto &[id, call] : m_calls) {
-                const auto isNew = std::find(progress.dispatch.begin(), progress.dispatch.end(), id)
-                                   != progress.dispatch.end();
+                const auto isNew = std::find(actions.dispatch.begin(), actions.dispatch.end(), id)
+                                   != actions.dispatch.end();
                 if (!isRunning(id) || isNew)
                     cr_assert(!wasWronglyRefused(it, call), "a lower level waits or runs");
             }
--- a/tests/admission/TestCostOrder.cpp
+++ b/tests/admission/TestCostOrder.cpp
@@ -79,9 +79,9 @@
         }
     }
 
-    auto recordDispatch(const Progress &progress) -> void
+    auto recordDispatch(const AdmissionActions &actions) -> void
     {
-        for (auto it : progress.dispatch)
+        for (auto it : actions.dispatch)
             m_ends.emplace(m_gate.now + m_kinds[m_kindOf[it]].serviceTime, it);
     }
 
--- a/tests/admission/TestFloors.cpp
+++ b/tests/admission/TestFloors.cpp
@@ -36,9 +36,9 @@
             recordDispatch(gate.offer(next++, level));
     }
 
-    auto recordDispatch(const Progress &progress) -> void
+    auto recordDispatch(const AdmissionActions &actions) -> void
     {
-        for (auto it : progress.dispatch)
+        for (auto it : actions.dispatch)
             ends[it] = gate.now + 10_ms;
     }
 
--- a/tests/measure/overload/Gates.h
+++ b/tests/measure/overload/Gates.h
@@ -9,11 +9,11 @@
 
 namespace stairspur::overload {
 
+using admission::AdmissionActions;
 using admission::AdmissionSettings;
 using admission::CallOffer;
 using admission::Completion;
 using admission::LoadReport;
-using admission::Progress;
 
 /// What the driver asks of a gate: the real controller, or one of the two below that it is compared with.
 template <typename Gate>
@@ -23,16 +23,16 @@
                     std::vector<Level> floors, std::vector<PathFloor> pathFloors) {
                {
                    gate.offer(offer, now, random)
-               } -> std::same_as<Progress>;
+               } -> std::same_as<AdmissionActions>;
                {
                    gate.didComplete(id, Completion::Succeeded, Duration(0), now, random)
-               } -> std::same_as<Progress>;
+               } -> std::same_as<AdmissionActions>;
                {
                    gate.cancel(id, now, random)
-               } -> std::same_as<Progress>;
+               } -> std::same_as<AdmissionActions>;
                {
                    gate.didPassTime(now, random)
-               } -> std::same_as<Progress>;
+               } -> std::same_as<AdmissionActions>;
                {
                    gate.report(now)
                } -> std::same_as<LoadReport>;
@@ -47,37 +47,37 @@
         : m_settings(settings)
     {}
 
-    auto offer(const CallOffer &offer, TimePoint now, Random & /*random*/) -> Progress
+    auto offer(const CallOffer &offer, TimePoint now, Random & /*random*/) -> AdmissionActions
     {
-        auto progress = Progress();
+        auto actions = AdmissionActions();
         if (m_queue.size() >= m_settings.maxQueue)
-            progress.refuse.push_back({offer.id, Reason::QueueFull, m_settings.retryAfterBase});
+            actions.refuse.push_back({offer.id, Reason::QueueFull, m_settings.retryAfterBase});
         else
             m_queue.push_back(offer);
-        dispatch(now, progress);
-        return progress;
+        dispatch(now, actions);
+        return actions;
     }
 
     auto didComplete(CallId id, Completion /*completion*/, Duration /*latency*/, TimePoint now,
-                     Random & /*random*/) -> Progress
+                     Random & /*random*/) -> AdmissionActions
     {
         m_running.erase(id);
-        auto progress = Progress();
-        dispatch(now, progress);
-        return progress;
+        auto actions = AdmissionActions();
+        dispatch(now, actions);
+        return actions;
     }
 
-    auto cancel(CallId id, TimePoint /*now*/, Random & /*random*/) -> Progress
+    auto cancel(CallId id, TimePoint /*now*/, Random & /*random*/) -> AdmissionActions
     {
         std::erase_if(m_queue, [&](const CallOffer &it) { return it.id == id; });
         return {};
     }
 
-    auto didPassTime(TimePoint now, Random & /*random*/) -> Progress
+    auto didPassTime(TimePoint now, Random & /*random*/) -> AdmissionActions
     {
-        auto progress = Progress();
-        dispatch(now, progress);
-        return progress;
+        auto actions = AdmissionActions();
+        dispatch(now, actions);
+        return actions;
     }
 
     auto setDeeperFloors(const std::vector<Level> & /*floors*/,
@@ -95,18 +95,18 @@
     }
 
 private:
-    auto dispatch(TimePoint now, Progress &progress) -> void
+    auto dispatch(TimePoint now, AdmissionActions &actions) -> void
     {
         while (!m_queue.empty() && m_running.size() < m_settings.reportedSlots) {
             const auto call = m_queue.front();
             m_queue.pop_front();
             if (call.deadline <= now) {
-                progress.refuse.push_back(
+                actions.refuse.push_back(
                         {call.id, Reason::DeadlineExceeded, m_settings.retryAfterBase});
                 continue;
             }
             m_running.insert(call.id);
-            progress.dispatch.push_back(call.id);
+            actions.dispatch.push_back(call.id);
         }
     }
 
--- a/tests/measure/overload/Host.h
+++ b/tests/measure/overload/Host.h
@@ -119,11 +119,11 @@
         m_gate.setDeeperFloors(std::move(floors), {});
     }
 
-    auto carryOut(const Progress &progress) -> void
+    auto carryOut(const AdmissionActions &actions) -> void
     {
-        for (const auto &it : progress.refuse)
+        for (const auto &it : actions.refuse)
             answerAndForget(it.id, {Outcome::NotRun, it.reason, false, 0, it.retryAfter, {}});
-        for (auto it : progress.dispatch)
+        for (auto it : actions.dispatch)
             dispatch(it);
     }
 
@@ -204,9 +204,9 @@
             m_entry->abandon(*call.deeper);
         const auto unspent = m_ledger.close(id);
         m_backend.release(id);
-        auto progress = m_gate.didComplete(id, completion, latency, m_events.now(), m_random);
+        auto actions = m_gate.didComplete(id, completion, latency, m_events.now(), m_random);
         answerAndForget(id, {outcome, reason, true, unspent, Duration(0), {}});
-        carryOut(progress);
+        carryOut(actions);
     }
 
     auto answerAndForget(CallId id, AttemptAnswer answer) -> void
