--- a/include/stairspur/admission/AdmissionController.h
+++ b/include/stairspur/admission/AdmissionController.h
@@ -37,7 +37,7 @@
     TimePoint deadline;
     PathKey path = NoPath;
     /// Whether a running call makes it. Floors of deeper services no longer refuse such a call.
-    bool hasBegun = false;
+    bool isDeeperCall = false;
     /// Total of the calls of this class and path that its root request makes.
     std::uint32_t callsPerRoot = 1;
 
@@ -48,7 +48,7 @@
     /// a refusal after that would waste the work already done for the request.
     [[nodiscard]] auto floorKey() const -> FloorKey
     {
-        return {level.rank(), hasBegun ? NoPath : path};
+        return {level.rank(), isDeeperCall ? NoPath : path};
     }
 };
 
--- a/source/admission/State.cpp
+++ b/source/admission/State.cpp
@@ -294,7 +294,7 @@
 {
     // Where calls of running requests are refused, no request of the same order may begin: its calls would be refused
     // the same way.
-    if (offer.hasBegun)
+    if (offer.isDeeperCall)
         m_floor.raiseAbove(orderOf(offer));
 }
 
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -231,7 +231,7 @@
                                                  .level = request.level,
                                                  .deadline = deadline,
                                                  .path = request.path,
-                                                 .hasBegun = request.isDeeperCall,
+                                                 .isDeeperCall = request.isDeeperCall,
                                                  .callsPerRoot = request.callsPerRoot},
                                                 cancellation);
     if (decision.reason != Reason::None)
--- a/tests/admission/TestCostOrder.cpp
+++ b/tests/admission/TestCostOrder.cpp
@@ -157,9 +157,9 @@
 Test(CostOrder, refusedDeeperCallsRaiseTheFloorAboveTheirLevel)
 {
     auto gate = warmGate(1, 2);
-    auto offer = [&](CallId id, std::uint64_t hash, bool hasBegun) {
+    auto offer = [&](CallId id, std::uint64_t hash, bool isDeeperCall) {
         auto call = CallOffer{id, makeLevel(2, hash), gate.now + 2000_ms};
-        call.hasBegun = hasBegun;
+        call.isDeeperCall = isDeeperCall;
         gate.record(gate.controller.offer(call, gate.now, gate.random));
     };
     for (auto id = CallId{1}; id <= 3; ++id)
--- a/tests/measure/overload/Host.h
+++ b/tests/measure/overload/Host.h
@@ -59,7 +59,7 @@
                                                 .level = root.level,
                                                 .deadline = root.deadline,
                                                 .path = root.path,
-                                                .hasBegun = request.isDeeperCall};
+                                                .isDeeperCall = request.isDeeperCall};
         carryOut(m_gate.offer(offer, m_events.now(), m_random));
     }
 
