--- a/include/stairspur/admission/LoadReport.h
+++ b/include/stairspur/admission/LoadReport.h
@@ -32,7 +32,7 @@
 
     /// Number that grows with each start of the backend server behind this gate. Measurements of an earlier process
     /// instance don't apply to a later one.
-    std::uint32_t backendLife = 0;
+    std::uint32_t backendIncarnation = 0;
 
     /// Returns the floor for calls of this class and path.
     [[nodiscard]] auto floorFor(FloorKey key) const -> Level
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -89,7 +89,7 @@
         m_crashes.didReplace(former);
         m_client = makeClient(limits);
         m_admission->didReplaceBackend();
-        ++m_backendLives;
+        ++m_backendIncarnation;
     }
     if (isLeaving(m_backend))
         apply(m_admission->refuseWaiting(Reason::Draining, monotonicNow(), m_random));
@@ -355,7 +355,7 @@
 {
     auto report = m_admission->report(monotonicNow());
     report.isDraining = report.isDraining || m_isDraining;
-    report.backendLife = m_backendLives;
+    report.backendIncarnation = m_backendIncarnation;
     return report;
 }
 
--- a/source/node/Gate.h
+++ b/source/node/Gate.h
@@ -100,7 +100,8 @@
     CallIdSource &m_callIds;
     Random m_random;
     LocalBackend m_backend;
-    std::uint32_t m_backendLives = 0; ///< Backend servers that stood here since the node started.
+    /// Number of times that the backend server was replaced or restarted since the node started.
+    std::uint32_t m_backendIncarnation = 0;
     std::uint64_t m_backendGeneration = 0;
     std::uint64_t m_floorsGeneration = 0;
     std::uint64_t m_configurationGeneration = 0;
--- a/source/routing/UpstreamView.cpp
+++ b/source/routing/UpstreamView.cpp
@@ -27,7 +27,7 @@
         return;
     if (upstream.incarnation > m_upstream.incarnation) {
         startAnew(now);
-        m_backendLife = 0; // Its gate counts anew too.
+        m_backendIncarnation = 0; // Its gate counts anew too.
     }
     m_upstream = upstream;
 }
@@ -77,10 +77,11 @@
 {
     if (!m_reports.isNewer(report, now, halfLife))
         return;
-    const auto isOfNewLife = m_backendLife > 0 && report.backendLife > m_backendLife;
-    if (isOfNewLife)
+    const auto isOfNewIncarnation =
+            m_backendIncarnation > 0 && report.backendIncarnation > m_backendIncarnation;
+    if (isOfNewIncarnation)
         startAnew(now);
-    m_backendLife = report.backendLife;
+    m_backendIncarnation = report.backendIncarnation;
     m_reports.take(report, m_upstream.slots, m_inFlight, now);
     m_floors.take(report.floors, report.pathFloors, now);
 }
--- a/source/routing/UpstreamView.h
+++ b/source/routing/UpstreamView.h
@@ -73,7 +73,7 @@
     auto startAnew(TimePoint now) -> void;
 
     Upstream m_upstream;
-    std::uint32_t m_backendLife = 0; ///< As last reported.
+    std::uint32_t m_backendIncarnation = 0; ///< As last reported.
     ReportView m_reports;
     FloorView m_floors;
     OutcomeView m_outcomes;
--- a/source/transport/CallCodec.cpp
+++ b/source/transport/CallCodec.cpp
@@ -162,7 +162,7 @@
     writer.addArray(2 * report->pathFloors.size());
     for (const auto &it : report->pathFloors)
         writer.addUnsigned(it.path).addUnsigned(it.floor.value);
-    writer.addUnsigned(report->backendLife);
+    writer.addUnsigned(report->backendIncarnation);
 }
 
 static auto readReport(CborReader &reader) -> std::optional<admission::LoadReport>
@@ -186,7 +186,7 @@
         it.floor = readLevel(reader);
     }
     if (n >= ReportItems)
-        report.backendLife = readNumber(reader);
+        report.backendIncarnation = readNumber(reader);
     reader.skip(n > ReportItems ? n - ReportItems : 0);
     return report;
 }
--- a/tests/routing/TestUpstreamPool.cpp
+++ b/tests/routing/TestUpstreamPool.cpp
@@ -284,13 +284,13 @@
     // The gate stays and its reports go on in order: only the life tells that another server stands behind it.
     auto fixture = PoolFixture(makeUpstreams("own", 2));
     auto report = makeReport(9, 0, {ClosedLevel});
-    report.backendLife = 1;
+    report.backendIncarnation = 1;
     fixture.pool.didReport("own0", report, fixture.now);
     for (auto n = 0; n < 6; ++n)
         fixture.attempt("own0", Outcome::Failed, Reason::BackendFailed);
     cr_assert_eq(fixture.choose(levelOf(2)).node, "own1", "floors and failures keep calls away");
     report = makeReport(10, 0);
-    report.backendLife = 2;
+    report.backendIncarnation = 2;
     fixture.pool.didReport("own0", report, fixture.now);
     auto isChosen = false;
     for (auto n = 0; n < 200 && !isChosen; ++n)
