--- a/include/stairspur/admission/AdmissionController.h
+++ b/include/stairspur/admission/AdmissionController.h
@@ -101,7 +101,7 @@
 
     /// Refuses the waiting calls that can no longer finish before their deadlines. Must be called every few milliseconds
     /// while calls wait.
-    auto didPassTime(TimePoint now, Random &random) -> AdmissionActions;
+    auto advanceTo(TimePoint now, Random &random) -> AdmissionActions;
 
     /// Sets the number of slots that the backend server reports.
     auto setReportedSlots(std::uint32_t slots) -> void;
--- a/source/admission/AdmissionController.cpp
+++ b/source/admission/AdmissionController.cpp
@@ -32,9 +32,9 @@
     return m_state->cancel(id, now, random);
 }
 
-auto AdmissionController::didPassTime(TimePoint now, Random &random) -> AdmissionActions
+auto AdmissionController::advanceTo(TimePoint now, Random &random) -> AdmissionActions
 {
-    return m_state->didPassTime(now, random);
+    return m_state->advanceTo(now, random);
 }
 
 auto AdmissionController::setReportedSlots(std::uint32_t slots) -> void
--- a/source/admission/DeeperFloors.cpp
+++ b/source/admission/DeeperFloors.cpp
@@ -24,7 +24,7 @@
     m_firstUsedAt.reset();
 }
 
-auto DeeperFloors::didPassTime(TimePoint now) -> void
+auto DeeperFloors::advanceTo(TimePoint now) -> void
 {
     if (m_floors.empty() && m_pathFloors.empty())
         return;
--- a/source/admission/DeeperFloors.h
+++ b/source/admission/DeeperFloors.h
@@ -17,7 +17,7 @@
     auto set(std::vector<Level> floors, std::vector<PathFloor> pathFloors = {}) -> void;
 
     /// Removes the floors when they were not set again for a second.
-    auto didPassTime(TimePoint now) -> void;
+    auto advanceTo(TimePoint now) -> void;
 
     /// Returns the floor of one class as it was reported. Ranks past the end have the floor of the last one.
     [[nodiscard]] auto floorFor(ClassRank rank) const -> Level;
--- a/source/admission/RequestCosts.cpp
+++ b/source/admission/RequestCosts.cpp
@@ -66,7 +66,7 @@
     return paths;
 }
 
-auto RequestCosts::didPassTime(TimePoint now) -> void
+auto RequestCosts::advanceTo(TimePoint now) -> void
 {
     if (now - m_updatedAt < UpdateInterval)
         return;
--- a/source/admission/RequestCosts.h
+++ b/source/admission/RequestCosts.h
@@ -35,7 +35,7 @@
     [[nodiscard]] auto yieldingPathsOf(ClassRank rank) const -> std::vector<PathKey>;
 
     /// Removes the kinds that had no calls for a while, and updates the yielding levels of the others.
-    auto didPassTime(TimePoint now) -> void;
+    auto advanceTo(TimePoint now) -> void;
 
     /// Discards all measurements, since they don't apply to another backend server.
     auto clear() -> void { m_kinds.clear(); }
--- a/source/admission/State.cpp
+++ b/source/admission/State.cpp
@@ -98,7 +98,7 @@
     return actions;
 }
 
-auto AdmissionController::State::didPassTime(TimePoint now, Random &random) -> AdmissionActions
+auto AdmissionController::State::advanceTo(TimePoint now, Random &random) -> AdmissionActions
 {
     observe(now);
     auto actions = AdmissionActions();
@@ -331,8 +331,8 @@
 
 auto AdmissionController::State::observe(TimePoint now) -> void
 {
-    m_deeper.didPassTime(now);
-    m_costs.didPassTime(now);
+    m_deeper.advanceTo(now);
+    m_costs.advanceTo(now);
     const auto serviceTime = m_serviceTime.mean();
     const auto limit = m_limit.limit();
     auto load = FloorEstimator::Load();
--- a/source/admission/State.h
+++ b/source/admission/State.h
@@ -27,7 +27,7 @@
     auto didComplete(CallId id, Completion completion, Duration latency, TimePoint now,
                      Random &random) -> AdmissionActions;
     auto cancel(CallId id, TimePoint now, Random &random) -> AdmissionActions;
-    auto didPassTime(TimePoint now, Random &random) -> AdmissionActions;
+    auto advanceTo(TimePoint now, Random &random) -> AdmissionActions;
     auto refuseWaiting(Reason reason, TimePoint now, Random &random) -> AdmissionActions;
     auto startDraining(TimePoint now, Random &random) -> AdmissionActions;
     auto report(TimePoint now) -> LoadReport;
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -374,7 +374,7 @@
 auto Gate::didTick() -> void
 {
     m_isTicking = false;
-    apply(m_admission->didPassTime(monotonicNow(), m_random));
+    apply(m_admission->advanceTo(monotonicNow(), m_random));
     if (m_admission->queued() > 0)
         ensureTicking();
 }
--- a/tests/admission/Gate.h
+++ b/tests/admission/Gate.h
@@ -61,7 +61,7 @@
     auto advance(Duration time) -> AdmissionActions
     {
         now += time;
-        return record(controller.didPassTime(now, random));
+        return record(controller.advanceTo(now, random));
     }
 
     /// Records the outcome of the calls in `actions`.
--- a/tests/admission/TestCostOrder.cpp
+++ b/tests/admission/TestCostOrder.cpp
@@ -49,7 +49,7 @@
         for (const auto end = m_gate.now + time; m_gate.now < end;) {
             m_gate.now += 1_ms;
             completeDue();
-            recordDispatch(m_gate.record(m_gate.controller.didPassTime(m_gate.now, m_gate.random)));
+            recordDispatch(m_gate.record(m_gate.controller.advanceTo(m_gate.now, m_gate.random)));
             for (auto index = std::size_t{0}; index < m_kinds.size(); ++index)
                 arrive(index);
         }
--- a/tests/admission/TestRequestCosts.cpp
+++ b/tests/admission/TestRequestCosts.cpp
@@ -70,7 +70,7 @@
         auto costs = RequestCosts();
         measure(costs, Cheap, 10ms, 4);
         measure(costs, Expensive, it.latency, it.callsPerRoot);
-        costs.didPassTime(Start + 1s);
+        costs.advanceTo(Start + 1s);
         const auto yielding = costs.yieldingLevelsOf(Expensive);
         cr_assert_eq(yielding > 0, it.yields, "%ld us, %u calls", it.latency.count(),
                      it.callsPerRoot);
@@ -84,11 +84,11 @@
     auto costs = RequestCosts();
     measure(costs, FloorKey(0, 11), 10ms);
     measure(costs, Expensive, 480ms);
-    costs.didPassTime(Start + 1s);
+    costs.advanceTo(Start + 1s);
     cr_assert_eq(costs.yieldingLevelsOf(Expensive), 0, "the cheap kind is of another class");
     costs.didOffer(Cheap, 1, Start);
     costs.didMeasure(Cheap, 10ms);
-    costs.didPassTime(Start + 2s);
+    costs.advanceTo(Start + 2s);
     cr_assert_eq(costs.yieldingLevelsOf(Expensive), 0, "one call is not enough for a mean");
 }
 
@@ -96,11 +96,11 @@
 {
     auto costs = RequestCosts();
     measure(costs, Cheap, 10ms);
-    costs.didPassTime(Start + 1s);
+    costs.advanceTo(Start + 1s);
     for (auto now = Start + 2s; now < Start + 40s; now += 1s) {
         costs.didOffer(Expensive, 1, now);
         costs.didMeasure(Expensive, 480ms);
-        costs.didPassTime(now);
+        costs.advanceTo(now);
     }
     cr_assert_eq(costs.yieldingLevelsOf(Expensive), 0, "no cheaper kind is left");
     cr_assert_eq(costs.serviceTimeOf(Cheap, 7ms), 7ms);
--- a/tests/measure/overload/Gates.h
+++ b/tests/measure/overload/Gates.h
@@ -31,7 +31,7 @@
                    gate.cancel(id, now, random)
                } -> std::same_as<AdmissionActions>;
                {
-                   gate.didPassTime(now, random)
+                   gate.advanceTo(now, random)
                } -> std::same_as<AdmissionActions>;
                {
                    gate.report(now)
@@ -73,7 +73,7 @@
         return {};
     }
 
-    auto didPassTime(TimePoint now, Random & /*random*/) -> AdmissionActions
+    auto advanceTo(TimePoint now, Random & /*random*/) -> AdmissionActions
     {
         auto actions = AdmissionActions();
         dispatch(now, actions);
--- a/tests/measure/overload/Host.h
+++ b/tests/measure/overload/Host.h
@@ -99,7 +99,7 @@
     auto tick() -> void
     {
         tellDeeperFloors();
-        carryOut(m_gate.didPassTime(m_events.now(), m_random));
+        carryOut(m_gate.advanceTo(m_events.now(), m_random));
         m_events.after(m_settings.tickLength, [this] { tick(); });
     }
 
@@ -192,7 +192,7 @@
         if (call.isDispatched)
             complete(id, completion, Outcome::Unknown, Reason::DeadlineExceeded);
         else
-            carryOut(m_gate.didPassTime(m_events.now(), m_random));
+            carryOut(m_gate.advanceTo(m_events.now(), m_random));
     }
 
     /// A dispatched call has ended, for whatever reason.
