--- a/include/stairspur/admission/AdmissionController.h
+++ b/include/stairspur/admission/AdmissionController.h
@@ -18,8 +18,8 @@
 /// Settings of an AdmissionController.
 struct AdmissionSettings
 {
-    std::uint32_t maxQueue = 256; ///< Upper bound of the waiting calls.
-    std::uint32_t coldLimit = 4;  ///< Limit of a backend server that has just started.
+    std::uint32_t maxQueue = 256;   ///< Upper bound of the waiting calls.
+    std::uint32_t initialLimit = 4; ///< Limit of a backend server that has just started.
     /// The limit is derived from the reported slots alone, from the start on, and stays a little below them. The outcome of
     /// calls doesn't change it.
     bool trustsReportedSlots = false;
--- a/source/admission/AdaptiveLimit.cpp
+++ b/source/admission/AdaptiveLimit.cpp
@@ -29,11 +29,11 @@
 
 } // namespace
 
-AdaptiveLimit::AdaptiveLimit(std::uint32_t coldLimit, std::uint32_t slots)
+AdaptiveLimit::AdaptiveLimit(std::uint32_t initialLimit, std::uint32_t slots)
     : m_slots(std::max(slots, 1U))
     , m_slowStartEnd(m_slots)
 {
-    m_limit = std::clamp(static_cast<double>(coldLimit), 1.0, m_slots);
+    m_limit = std::clamp(static_cast<double>(initialLimit), 1.0, m_slots);
 }
 
 auto AdaptiveLimit::fixedFor(std::uint32_t slots) -> AdaptiveLimit
--- a/source/admission/AdaptiveLimit.h
+++ b/source/admission/AdaptiveLimit.h
@@ -12,7 +12,7 @@
 class AdaptiveLimit
 {
 public:
-    AdaptiveLimit(std::uint32_t coldLimit, std::uint32_t slots);
+    AdaptiveLimit(std::uint32_t initialLimit, std::uint32_t slots);
 
     /// Returns a limit that depends on the number of slots alone. It is a little below that number, see slotsToUse().
     static auto fixedFor(std::uint32_t slots) -> AdaptiveLimit;
--- a/source/admission/State.cpp
+++ b/source/admission/State.cpp
@@ -34,8 +34,9 @@
 
 static auto newLimit(const AdmissionSettings &settings) -> AdaptiveLimit
 {
-    return settings.trustsReportedSlots ? AdaptiveLimit::fixedFor(settings.reportedSlots)
-                                        : AdaptiveLimit(settings.coldLimit, settings.reportedSlots);
+    return settings.trustsReportedSlots
+                   ? AdaptiveLimit::fixedFor(settings.reportedSlots)
+                   : AdaptiveLimit(settings.initialLimit, settings.reportedSlots);
 }
 
 AdmissionController::State::State(const AdmissionSettings &settings)
--- a/tests/admission/Gate.h
+++ b/tests/admission/Gate.h
@@ -87,7 +87,7 @@
 inline auto warmGate(std::uint32_t slots, std::uint32_t maxQueue = 256) -> Gate
 {
     auto settings = AdmissionSettings();
-    settings.coldLimit = slots;
+    settings.initialLimit = slots;
     settings.reportedSlots = slots;
     settings.maxQueue = maxQueue;
     auto gate = Gate(settings);
--- a/tests/admission/TestAdmissionController.cpp
+++ b/tests/admission/TestAdmissionController.cpp
@@ -135,7 +135,7 @@
     };
     for (const auto &it : cases) {
         auto settings = AdmissionSettings();
-        settings.coldLimit = 7;
+        settings.initialLimit = 7;
         auto gate = Gate(settings);
         auto next = CallId{0};
         const auto fill = [&] {
--- a/tests/admission/TestAdmissionProperties.cpp
+++ b/tests/admission/TestAdmissionProperties.cpp
@@ -31,7 +31,7 @@
         auto settings = AdmissionSettings();
         settings.maxQueue = 1 + static_cast<std::uint32_t>(below(40));
         settings.reportedSlots = 1 + static_cast<std::uint32_t>(below(20));
-        settings.coldLimit = 1 + static_cast<std::uint32_t>(below(6));
+        settings.initialLimit = 1 + static_cast<std::uint32_t>(below(6));
         return settings;
     }
 
