--- a/include/stairspur/admission/AdmissionController.h
+++ b/include/stairspur/admission/AdmissionController.h
@@ -22,7 +22,7 @@
     std::uint32_t initialLimit = 4; ///< Limit of a backend server that has just started.
     /// The limit is derived from the reported slots alone, from the start on, and stays a little below them. The outcome of
     /// calls doesn't change it.
-    bool trustsReportedSlots = false;
+    bool followsReportedSlots = false;
     /// Calls that the backend server reports to run at once: the upper bound of the limit.
     std::uint32_t reportedSlots = 16;
     Duration retryAfterBase{100'000};   ///< Retry-After at the mildest overload.
--- a/source/admission/State.cpp
+++ b/source/admission/State.cpp
@@ -34,7 +34,7 @@
 
 static auto newLimit(const AdmissionSettings &settings) -> AdaptiveLimit
 {
-    return settings.trustsReportedSlots
+    return settings.followsReportedSlots
                    ? AdaptiveLimit::fixedFor(settings.reportedSlots)
                    : AdaptiveLimit(settings.initialLimit, settings.reportedSlots);
 }
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -31,7 +31,7 @@
 static auto admissionSettings(const CallProtocol *protocol) -> admission::AdmissionSettings
 {
     auto settings = admission::AdmissionSettings();
-    settings.trustsReportedSlots = protocol && protocol->areSlotsExact;
+    settings.followsReportedSlots = protocol && protocol->areSlotsExact;
     return settings;
 }
 
--- a/tests/admission/TestPathFloors.cpp
+++ b/tests/admission/TestPathFloors.cpp
@@ -48,7 +48,7 @@
 {
     auto settings = AdmissionSettings();
     settings.reportedSlots = 9;
-    settings.trustsReportedSlots = true;
+    settings.followsReportedSlots = true;
     auto controller = AdmissionController(settings);
     cr_assert_eq(controller.report(Now).limit, 9);
     auto random = Random(1);
@@ -71,7 +71,7 @@
     for (const auto &it : {Case{0, 1}, Case{1, 1}, Case{2, 2}, Case{9, 9}, Case{10, 9},
                            Case{20, 19}, Case{21, 19}, Case{63, 59}, Case{394, 374}}) {
         auto settings = AdmissionSettings();
-        settings.trustsReportedSlots = true;
+        settings.followsReportedSlots = true;
         settings.reportedSlots = it.slots;
         cr_assert_eq(AdmissionController(settings).report(Now).limit, it.limit, "%u slots",
                      it.slots);
--- a/tests/measure/overload/Host.h
+++ b/tests/measure/overload/Host.h
@@ -25,7 +25,7 @@
         std::string domain;
         std::uint32_t maxQueue = 256;
         std::uint32_t reportedSlots = 1;
-        bool trustsReportedSlots = false;
+        bool followsReportedSlots = false;
         bool hasFloors = true;
         std::uint32_t classes = 1;
         PathKey path = NoPath; ///< The one by which deeper floors are told; none: by class.
@@ -92,7 +92,7 @@
         auto result = AdmissionSettings();
         result.maxQueue = settings.maxQueue;
         result.reportedSlots = settings.reportedSlots;
-        result.trustsReportedSlots = settings.trustsReportedSlots;
+        result.followsReportedSlots = settings.followsReportedSlots;
         return result;
     }
 
--- a/tests/measure/overload/Simulation.h
+++ b/tests/measure/overload/Simulation.h
@@ -105,7 +105,7 @@
         settings.classes = static_cast<std::uint32_t>(m_scenario.clients.classShares.size());
         const auto &model = m_scenario.deployment.chain[service];
         settings.reportedSlots = reportedSlotsOf(service);
-        settings.trustsReportedSlots = m_scenario.hasExactSlots;
+        settings.followsReportedSlots = m_scenario.hasExactSlots;
         settings.path = m_scenario.path;
         settings.tickLength = m_scenario.gateTick;
         m_hosts[service].push_back(std::make_unique<Node>(settings, model, m_events, m_random));
