--- a/source/admission/RequestCosts.h
+++ b/source/admission/RequestCosts.h
@@ -13,7 +13,7 @@
 
 /// Measures the cost of requests at one backend server, by kind: the class and path of the calls that they make here.
 ///
-/// Requests of one class have equal priority, but one may occupy ten times the slots of another where slots are scarce.
+/// Requests of one class have equal value, but one may occupy ten times the slots of another where slots are scarce.
 /// Under overload, each expensive request that is refused there makes room for several cheap ones. So a part of the
 /// levels of an expensive kind yields to all others of the class. The rest keeps its order, so that no kind starves.
 class RequestCosts
--- a/source/admission/State.cpp
+++ b/source/admission/State.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 /// The queue is bounded by the calls that can be dispatched within this many service times, but no less than
-/// MinQueueBoundTime. In a longer queue, waiting calls only occupy slots of the services that made them for longer.
+/// MinQueueBoundTime. In a longer queue, calls only wait for longer, and occupy slots of the services that made them
+/// meanwhile.
 constexpr auto QueueBoundInServiceTimes = 2;
 constexpr auto MinQueueBoundTime = Duration(100'000);
 
@@ -147,22 +148,22 @@
         report.floors.assign(1, ClosedLevel);
         return report;
     }
-    addOwnFloors(report);
+    addFloors(report);
     return report;
 }
 
-auto AdmissionController::State::addOwnFloors(LoadReport &report) const -> void
+auto AdmissionController::State::addFloors(LoadReport &report) const -> void
 {
     const auto floor = m_floor.floor();
-    const auto ofClass = lowestLevelAt(floor, 0);
+    const auto classFloor = lowestLevelAt(floor, 0);
     for (std::size_t rank = 0; rank < std::max<std::size_t>(m_deeper.size(), 1); ++rank) {
         const auto deeper = m_deeper.floorFor(static_cast<ClassRank>(rank));
-        report.floors.push_back(std::max(ofClass, deeper));
+        report.floors.push_back(std::max(classFloor, deeper));
     }
-    report.pathFloors = m_deeper.pathsAbove(ofClass);
-    for (const auto path : m_costs.yieldingPathsOf(ofClass.rank())) {
-        const auto yielding = m_costs.yieldingLevelsOf({ofClass.rank(), path});
-        raiseFloorOfPath(report.pathFloors, {path, lowestLevelAt(floor, yielding)});
+    report.pathFloors = m_deeper.pathsAbove(classFloor);
+    for (const auto path : m_costs.yieldingPathsOf(classFloor.rank())) {
+        const auto yieldingLevels = m_costs.yieldingLevelsOf({classFloor.rank(), path});
+        raiseFloorOfPath(report.pathFloors, {path, lowestLevelAt(floor, yieldingLevels)});
     }
 }
 
@@ -237,7 +238,7 @@
             refuse(call.id, Reason::DeadlineExceeded, random, actions);
             continue;
         }
-        // An idle backend server always receives the call. A service time that was measured during a slowdown would
+        // An idle backend server receives every call that has not expired. A service time that was measured during a slowdown would
         // otherwise refuse all calls, and would never be updated.
         if (inFlight() > 0 && now + m_serviceTime.mean() > call.deadline) {
             refuse(call.id, Reason::WaitExceedsDeadline, random, actions);
@@ -313,8 +314,8 @@
 auto AdmissionController::State::waitAtFloor() const -> Duration
 {
     // A call at the floor is overtaken by all calls that arrive while it waits.
-    const auto overtaking = m_floor.slotsAboveFloor() / m_limit.limit();
-    const auto remainingShare = std::max(1.0 - overtaking, MinRemainingShare);
+    const auto overtakingShare = m_floor.slotsAboveFloor() / m_limit.limit();
+    const auto remainingShare = std::max(1.0 - overtakingShare, MinRemainingShare);
     const auto wait = static_cast<double>(waitBehind(queued()).count()) / remainingShare;
     return Duration(static_cast<Duration::rep>(wait));
 }
@@ -324,10 +325,11 @@
     const auto serviceTime = m_serviceTime.mean();
     if (serviceTime <= Duration(0))
         return m_settings.maxQueue;
-    const auto longest = std::max(serviceTime * QueueBoundInServiceTimes, MinQueueBoundTime);
-    const auto calls = longest.count() * m_limit.limit() / serviceTime.count();
-    const auto least = std::min(MinQueueBound, m_settings.maxQueue);
-    return static_cast<std::uint32_t>(std::clamp<Duration::rep>(calls, least, m_settings.maxQueue));
+    const auto maxWait = std::max(serviceTime * QueueBoundInServiceTimes, MinQueueBoundTime);
+    const auto calls = maxWait.count() * m_limit.limit() / serviceTime.count();
+    const auto minCalls = std::min(MinQueueBound, m_settings.maxQueue);
+    return static_cast<std::uint32_t>(
+            std::clamp<Duration::rep>(calls, minCalls, m_settings.maxQueue));
 }
 
 auto AdmissionController::State::observe(TimePoint now) -> void
--- a/source/admission/State.h
+++ b/source/admission/State.h
@@ -74,8 +74,8 @@
     /// Returns the time for which a call of this kind occupies a slot.
     [[nodiscard]] auto serviceTimeOf(FloorKey kind) const -> Duration;
     [[nodiscard]] auto orderOf(const CallOffer &offer) const -> ServingOrder;
-    /// Adds the floors by class, and by path for the deeper services and for the paths with yielding levels.
-    auto addOwnFloors(LoadReport &report) const -> void;
+    /// Adds the floors to a report: by class, and by path for deeper services and for paths with yielding levels.
+    auto addFloors(LoadReport &report) const -> void;
     [[nodiscard]] auto isBelowDeeperFloor(const CallOffer &call) const -> bool;
     [[nodiscard]] auto queueBound() const -> std::uint32_t;
 
