--- a/source/admission/RequestCosts.cpp
+++ b/source/admission/RequestCosts.cpp
@@ -94,12 +94,12 @@
 
 auto RequestCosts::lowestCostOf(ClassRank rank) const -> double
 {
-    auto least = std::numeric_limits<double>::max();
+    auto lowest = std::numeric_limits<double>::max();
     for (const auto &[kind, cost] : m_kinds) {
         if (kind.rank == rank && hasMean(cost))
-            least = std::min(least, costPerRootRequest(cost));
+            lowest = std::min(lowest, costPerRootRequest(cost));
     }
-    return least;
+    return lowest;
 }
 
 } // namespace stairspur::admission
