--- a/source/admission/FloorEstimator.cpp
+++ b/source/admission/FloorEstimator.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Minimum time between two moves of the floor.
+/// Minimum length of the window over which load and demand are measured. The floor moves at its end.
 constexpr auto WindowLength = Duration(20'000);
 
 /// Time constant by which the demand of each level is smoothed.
--- a/source/node/Gate.h
+++ b/source/node/Gate.h
@@ -100,7 +100,7 @@
     CallIdSource &m_callIds;
     Random m_random;
     LocalBackend m_backend;
-    /// Number of times that the backend server was replaced or restarted since the node started.
+    /// Number of process instances that the backend server has had since the node started.
     std::uint32_t m_backendIncarnation = 0;
     std::uint64_t m_backendGeneration = 0;
     std::uint64_t m_floorsGeneration = 0;
