--- a/source/admission/State.cpp
+++ b/source/admission/State.cpp
@@ -7,34 +7,37 @@
 
 namespace {
 
-/// The queue holds no more than can be dispatched in this many service times, and in no less than ShortestBound: a
-/// longer one only makes those who wait hold places of the services above.
-constexpr auto BoundInServiceTimes = 2;
-constexpr auto ShortestBound = Duration(100'000);
+/// The queue is bounded by the calls that can be dispatched within this many service times, but no less than
+/// MinQueueBoundTime. In a longer queue, calls only wait for longer, and occupy slots of the services that made them
+/// meanwhile.
+constexpr auto QueueBoundInServiceTimes = 2;
+constexpr auto MinQueueBoundTime = Duration(100'000);
 
-/// A queue always takes a few calls, however slow the backend server.
-constexpr auto LeastQueueBound = std::uint32_t{4};
+/// Minimum of the queue bound, however slow the backend server is.
+constexpr auto MinQueueBound = std::uint32_t{4};
 
-/// The queue that is wanted under overload, as a share of the service time: enough that no place stays empty until a
-/// new floor has reached the entries.
+/// Target wait under overload, as a share of the service time. It is long enough that no slot becomes idle until the
+/// entries have received a new floor.
 constexpr auto TargetShareOfServiceTime = 0.5;
-constexpr auto LeastTargetWait = Duration(5'000);
+constexpr auto MinTargetWait = Duration(5'000);
 
-/// Places that those who come later and are more important leave over, at the least: the arrivals are an estimate.
-constexpr auto LeastLeftShare = 0.2;
+/// Minimum share of the slots that remains for a waiting call beside later and more important ones. Their demand is an
+/// estimate.
+constexpr auto MinRemainingShare = 0.2;
 
 auto targetWait(Duration serviceTime) -> Duration
 {
     const auto share = TargetShareOfServiceTime * static_cast<double>(serviceTime.count());
-    return std::max(LeastTargetWait, Duration(static_cast<Duration::rep>(share)));
+    return std::max(MinTargetWait, Duration(static_cast<Duration::rep>(share)));
 }
 
 } // namespace
 
 static auto newLimit(const AdmissionSettings &settings) -> AdaptiveLimit
 {
-    return settings.trustsReportedSlots ? AdaptiveLimit::fixedFor(settings.reportedSlots)
-                                        : AdaptiveLimit(settings.coldLimit, settings.reportedSlots);
+    return settings.followsReportedSlots
+                   ? AdaptiveLimit::fixedFor(settings.reportedSlots)
+                   : AdaptiveLimit(settings.initialLimit, settings.reportedSlots);
 }
 
 AdmissionController::State::State(const AdmissionSettings &settings)
@@ -44,37 +47,37 @@
 {}
 
 auto AdmissionController::State::offer(const CallOffer &offer, TimePoint now, Random &random)
-        -> Progress
+        -> AdmissionActions
 {
     observe(now);
-    auto progress = Progress();
+    auto actions = AdmissionActions();
     m_retryAfter.didOffer();
     m_costs.didOffer(offer.kind(), offer.callsPerRoot, now);
     const auto order = orderOf(offer);
     m_floor.didArrive(order, serviceTimeOf(offer.kind()));
-    // Those who have become hopeless leave first: the newcomer is judged by the queue that it really meets.
-    settle(std::nullopt, now, random, progress);
+    // Waiting calls that have become too late are refused first, so that only the others count for the new call.
+    processQueue(std::nullopt, now, random, actions);
     const auto refusal = refusalOf({offer, order}, now);
     if (refusal == Reason::None)
         m_queue.push({offer, order});
     else
-        refuse(offer.id, refusal, random, progress);
-    settle(offer.id, now, random, progress);
-    return progress;
+        refuse(offer.id, refusal, random, actions);
+    processQueue(offer.id, now, random, actions);
+    return actions;
 }
 
 auto AdmissionController::State::didComplete(CallId id, Completion completion, Duration latency,
-                                             TimePoint now, Random &random) -> Progress
+                                             TimePoint now, Random &random) -> AdmissionActions
 {
     observe(now);
-    auto progress = Progress();
+    auto actions = AdmissionActions();
     const auto inFlightBefore = inFlight();
     const auto ended = m_running.extract(id);
     if (!ended) {
         assert(false && "only a dispatched call can complete, and only once");
-        return progress;
+        return actions;
     }
-    didDropLoad();
+    didReduceLoad();
     m_limit.didComplete({completion, latency, m_serviceTime.mean(), inFlightBefore}, now);
     if (completion == Completion::Succeeded) {
         m_serviceTime.didMeasure(latency);
@@ -82,29 +85,30 @@
     }
     if (completion == Completion::TimedOut)
         m_serviceTime.didExceed(latency);
-    settle(std::nullopt, now, random, progress);
-    return progress;
+    processQueue(std::nullopt, now, random, actions);
+    return actions;
 }
 
-auto AdmissionController::State::cancel(CallId id, TimePoint now, Random &random) -> Progress
+auto AdmissionController::State::cancel(CallId id, TimePoint now, Random &random)
+        -> AdmissionActions
 {
     observe(now);
-    auto progress = Progress();
-    didDropLoad();
+    auto actions = AdmissionActions();
+    didReduceLoad();
     if (m_queue.remove(id))
-        settle(std::nullopt, now, random, progress);
-    return progress;
+        processQueue(std::nullopt, now, random, actions);
+    return actions;
 }
 
-auto AdmissionController::State::didPassTime(TimePoint now, Random &random) -> Progress
+auto AdmissionController::State::advanceTo(TimePoint now, Random &random) -> AdmissionActions
 {
     observe(now);
-    auto progress = Progress();
-    settle(std::nullopt, now, random, progress);
-    return progress;
+    auto actions = AdmissionActions();
+    processQueue(std::nullopt, now, random, actions);
+    return actions;
 }
 
-auto AdmissionController::State::startDraining(TimePoint now, Random &random) -> Progress
+auto AdmissionController::State::startDraining(TimePoint now, Random &random) -> AdmissionActions
 {
     observe(now);
     m_isDraining = true;
@@ -112,14 +116,14 @@
 }
 
 auto AdmissionController::State::refuseWaiting(Reason reason, TimePoint now, Random &random)
-        -> Progress
+        -> AdmissionActions
 {
     observe(now);
-    auto progress = Progress();
+    auto actions = AdmissionActions();
     const auto all = m_queue.removeIf([](const QueuedCall &, std::uint32_t) { return true; });
     for (const auto &it : all)
-        refuse(it.id, reason, random, progress);
-    return progress;
+        refuse(it.id, reason, random, actions);
+    return actions;
 }
 
 auto AdmissionController::State::didReplaceBackend() -> void
@@ -137,29 +141,29 @@
     report.limit = m_limit.limit();
     report.inFlight = inFlight();
     report.queued = queued();
-    const auto isFree = queued() == 0 && inFlight() < report.limit;
-    report.estimatedWait = isFree ? Duration(0) : waitAtFloor();
+    const auto hasFreeSlot = queued() == 0 && inFlight() < report.limit;
+    report.estimatedWait = hasFreeSlot ? Duration(0) : waitAtFloor();
     report.isDraining = m_isDraining;
     if (m_isDraining) {
         report.floors.assign(1, ClosedLevel);
         return report;
     }
-    addOwnFloors(report);
+    addFloors(report);
     return report;
 }
 
-auto AdmissionController::State::addOwnFloors(LoadReport &report) const -> void
+auto AdmissionController::State::addFloors(LoadReport &report) const -> void
 {
     const auto floor = m_floor.floor();
-    const auto ofClass = lowestLevelAt(floor, 0);
+    const auto classFloor = lowestLevelAt(floor, 0);
     for (std::size_t rank = 0; rank < std::max<std::size_t>(m_deeper.size(), 1); ++rank) {
         const auto deeper = m_deeper.floorFor(static_cast<ClassRank>(rank));
-        report.floors.push_back(std::max(ofClass, deeper));
+        report.floors.push_back(std::max(classFloor, deeper));
     }
-    report.pathFloors = m_deeper.pathsAbove(ofClass);
-    for (const auto path : m_costs.yieldingPathsOf(ofClass.rank())) {
-        const auto yielding = m_costs.yieldingLevelsOf({ofClass.rank(), path});
-        raiseFloorOfPath(report.pathFloors, {path, lowestLevelAt(floor, yielding)});
+    report.pathFloors = m_deeper.pathsAbove(classFloor);
+    for (const auto path : m_costs.yieldingPathsOf(classFloor.rank())) {
+        const auto yieldingLevels = m_costs.yieldingLevelsOf({classFloor.rank(), path});
+        raiseFloorOfPath(report.pathFloors, {path, lowestLevelAt(floor, yieldingLevels)});
     }
 }
 
@@ -187,36 +191,37 @@
         return Reason::DeadlineExceeded;
     if (isBelowDeeperFloor(offer))
         return Reason::BelowFloor;
-    // Whoever is greater than a call that waits comes before it, whatever the floor.
-    const auto comesBefore = !m_queue.isEmpty() && call.order > m_queue.last().order;
-    const auto isFree = inFlight() < m_limit.limit();
-    if (!comesBefore && !isFree && call.order < m_enforcedFloor)
+    // A call of a greater order than a waiting call is served before it, whatever the floor is.
+    const auto isBeforeLast = !m_queue.isEmpty() && call.order > m_queue.last().order;
+    const auto hasFreeSlot = inFlight() < m_limit.limit();
+    if (!isBeforeLast && !hasFreeSlot && call.order < m_enforcedFloor)
         return Reason::BelowFloor;
     return Reason::None;
 }
 
-auto AdmissionController::State::settle(std::optional<CallId> newcomer, TimePoint now,
-                                        Random &random, Progress &progress) -> void
+auto AdmissionController::State::processQueue(std::optional<CallId> newCall, TimePoint now,
+                                              Random &random, AdmissionActions &actions) -> void
 {
-    refuseBelowDeeperFloors(random, progress);
-    dispatchFree(now, random, progress);
+    refuseBelowDeeperFloors(random, actions);
+    dispatchFree(now, random, actions);
     const auto before = queued();
-    refuseHopeless(now, random, progress);
-    // Where a newcomer makes others hopeless, load has grown.
-    if (!newcomer && queued() < before)
-        didDropLoad();
-    boundQueue(newcomer, random, progress);
-    refuseOvertaken(random, progress);
+    refuseTooLate(now, random, actions);
+    // Calls that become too late because of a new call show that load has grown.
+    if (!newCall && queued() < before)
+        didReduceLoad();
+    boundQueue(newCall, random, actions);
+    refuseOvertaken(random, actions);
 }
 
-auto AdmissionController::State::refuseBelowDeeperFloors(Random &random, Progress &progress) -> void
+auto AdmissionController::State::refuseBelowDeeperFloors(Random &random, AdmissionActions &actions)
+        -> void
 {
-    // Those who waited when the floor rose must not be served while greater levels are refused.
+    // Calls that waited when the floor rose must not be served while calls of greater levels are refused.
     const auto isBelow = [&](const QueuedCall &call, std::uint32_t) {
         return isBelowDeeperFloor(call.offer);
     };
     for (const auto &it : m_queue.removeIf(isBelow))
-        refuse(it.id, Reason::BelowFloor, random, progress);
+        refuse(it.id, Reason::BelowFloor, random, actions);
 }
 
 auto AdmissionController::State::isBelowDeeperFloor(const CallOffer &call) const -> bool
@@ -224,80 +229,81 @@
     return call.level < m_deeper.enforcedFloorFor(call.floorKey());
 }
 
-auto AdmissionController::State::dispatchFree(TimePoint now, Random &random, Progress &progress)
-        -> void
+auto AdmissionController::State::dispatchFree(TimePoint now, Random &random,
+                                              AdmissionActions &actions) -> void
 {
     while (!m_queue.isEmpty() && inFlight() < m_limit.limit()) {
         const auto call = m_queue.popFirst();
         if (call.deadline <= now) {
-            refuse(call.id, Reason::DeadlineExceeded, random, progress);
+            refuse(call.id, Reason::DeadlineExceeded, random, actions);
             continue;
         }
-        // An idle backend server is tried in any case: a service time that was learnt from bad times would else refuse
-        // everything, and never be corrected.
+        // An idle backend server receives every call that has not expired. A service time that was measured during a slowdown would
+        // otherwise refuse all calls, and would never be updated.
         if (inFlight() > 0 && now + m_serviceTime.mean() > call.deadline) {
-            refuse(call.id, Reason::WaitExceedsDeadline, random, progress);
+            refuse(call.id, Reason::WaitExceedsDeadline, random, actions);
             continue;
         }
         m_running.emplace(call.id, call.kind());
-        progress.dispatch.push_back(call.id);
+        actions.dispatch.push_back(call.id);
     }
 }
 
-auto AdmissionController::State::refuseHopeless(TimePoint now, Random &random, Progress &progress)
-        -> void
+auto AdmissionController::State::refuseTooLate(TimePoint now, Random &random,
+                                               AdmissionActions &actions) -> void
 {
-    const auto isHopeless = [&](const QueuedCall &call, std::uint32_t position) {
+    const auto isTooLate = [&](const QueuedCall &call, std::uint32_t position) {
         const auto &offer = call.offer;
         return now + waitBehind(position) + m_serviceTime.mean() > offer.deadline;
     };
-    for (const auto &it : m_queue.removeIf(isHopeless)) {
-        const auto isLate = it.deadline <= now;
-        const auto reason = isLate ? Reason::DeadlineExceeded : Reason::WaitExceedsDeadline;
-        refuse(it.id, reason, random, progress);
+    for (const auto &it : m_queue.removeIf(isTooLate)) {
+        const auto hasExpired = it.deadline <= now;
+        const auto reason = hasExpired ? Reason::DeadlineExceeded : Reason::WaitExceedsDeadline;
+        refuse(it.id, reason, random, actions);
     }
 }
 
-auto AdmissionController::State::refuseOvertaken(Random &random, Progress &progress) -> void
+auto AdmissionController::State::refuseOvertaken(Random &random, AdmissionActions &actions) -> void
 {
     const auto order = m_queue.greatestOvertaken(queueBound());
     if (!order)
         return;
-    // Greater calls keep coming in its place here, but another upstream may have room while there is time. Those behind
-    // it have even less to hope for, and must not be served in its stead.
+    // Calls of greater order keep arriving here, but another upstream may have a free slot while there is time. The
+    // calls behind the overtaken one would wait even longer, and must not be served instead of it.
     const auto isOvertaken = [&](const QueuedCall &call, std::uint32_t) {
         return call.order <= *order;
     };
     for (const auto &it : m_queue.removeIf(isOvertaken)) {
-        noteLostPlace(it);
-        refuse(it.id, Reason::Evicted, random, progress);
+        raiseFloorIfDeeper(it);
+        refuse(it.id, Reason::Evicted, random, actions);
     }
     m_enforcedFloor = std::max(m_enforcedFloor, *order);
 }
 
-auto AdmissionController::State::boundQueue(std::optional<CallId> newcomer, Random &random,
-                                            Progress &progress) -> void
+auto AdmissionController::State::boundQueue(std::optional<CallId> newCall, Random &random,
+                                            AdmissionActions &actions) -> void
 {
     const auto bound = queueBound();
     while (m_queue.size() > bound) {
         const auto call = m_queue.popLast();
-        noteLostPlace(call);
-        const auto reason = call.id == newcomer ? Reason::QueueFull : Reason::Evicted;
-        refuse(call.id, reason, random, progress);
+        raiseFloorIfDeeper(call);
+        const auto reason = call.id == newCall ? Reason::QueueFull : Reason::Evicted;
+        refuse(call.id, reason, random, actions);
     }
 }
 
-auto AdmissionController::State::noteLostPlace(const CallOffer &offer) -> void
+auto AdmissionController::State::raiseFloorIfDeeper(const CallOffer &offer) -> void
 {
-    // Where running requests are refused no others of their standing may begin: they would end the same way.
-    if (offer.hasBegun)
+    // Where calls of running requests are refused, no request of the same order may begin: its calls would be refused
+    // the same way.
+    if (offer.isDeeperCall)
         m_floor.raiseAbove(orderOf(offer));
 }
 
 auto AdmissionController::State::refuse(CallId id, Reason reason, Random &random,
-                                        Progress &progress) -> void
+                                        AdmissionActions &actions) -> void
 {
-    progress.refuse.push_back({id, reason, m_retryAfter.didRefuse(random)});
+    actions.refuse.push_back({id, reason, m_retryAfter.didRefuse(random)});
 }
 
 auto AdmissionController::State::waitBehind(std::uint32_t ahead) const -> Duration
@@ -307,10 +313,10 @@
 
 auto AdmissionController::State::waitAtFloor() const -> Duration
 {
-    // A call at the floor lets all pass that come while it waits.
-    const auto overtaking = m_floor.placesAboveFloor() / m_limit.limit();
-    const auto left = std::max(1.0 - overtaking, LeastLeftShare);
-    const auto wait = static_cast<double>(waitBehind(queued()).count()) / left;
+    // A call at the floor is overtaken by all calls that arrive while it waits.
+    const auto overtakingShare = m_floor.slotsAboveFloor() / m_limit.limit();
+    const auto remainingShare = std::max(1.0 - overtakingShare, MinRemainingShare);
+    const auto wait = static_cast<double>(waitBehind(queued()).count()) / remainingShare;
     return Duration(static_cast<Duration::rep>(wait));
 }
 
@@ -319,16 +325,17 @@
     const auto serviceTime = m_serviceTime.mean();
     if (serviceTime <= Duration(0))
         return m_settings.maxQueue;
-    const auto longest = std::max(serviceTime * BoundInServiceTimes, ShortestBound);
-    const auto calls = longest.count() * m_limit.limit() / serviceTime.count();
-    const auto least = std::min(LeastQueueBound, m_settings.maxQueue);
-    return static_cast<std::uint32_t>(std::clamp<Duration::rep>(calls, least, m_settings.maxQueue));
+    const auto maxWait = std::max(serviceTime * QueueBoundInServiceTimes, MinQueueBoundTime);
+    const auto calls = maxWait.count() * m_limit.limit() / serviceTime.count();
+    const auto minCalls = std::min(MinQueueBound, m_settings.maxQueue);
+    return static_cast<std::uint32_t>(
+            std::clamp<Duration::rep>(calls, minCalls, m_settings.maxQueue));
 }
 
 auto AdmissionController::State::observe(TimePoint now) -> void
 {
-    m_deeper.didPassTime(now);
-    m_costs.didPassTime(now);
+    m_deeper.advanceTo(now);
+    m_costs.advanceTo(now);
     const auto serviceTime = m_serviceTime.mean();
     const auto limit = m_limit.limit();
     auto load = FloorEstimator::Load();
@@ -338,14 +345,14 @@
         load.lowestWaiting = m_queue.last().order;
     load.inFlight = inFlight();
     load.limit = limit;
-    load.isWorkKnown = serviceTime > Duration(0);
+    load.hasServiceTime = serviceTime > Duration(0);
     m_floor.didObserve(load, now);
-    m_enforcedFloor = std::max(m_enforcedFloor, m_floor.oldestFloor());
+    m_enforcedFloor = std::max(m_enforcedFloor, m_floor.lowestRecentFloor());
 }
 
-auto AdmissionController::State::didDropLoad() -> void
+auto AdmissionController::State::didReduceLoad() -> void
 {
-    m_enforcedFloor = m_floor.oldestFloor();
+    m_enforcedFloor = m_floor.lowestRecentFloor();
 }
 
 } // namespace stairspur::admission
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -31,7 +31,7 @@
 static auto admissionSettings(const CallProtocol *protocol) -> admission::AdmissionSettings
 {
     auto settings = admission::AdmissionSettings();
-    settings.trustsReportedSlots = protocol && protocol->areSlotsExact;
+    settings.followsReportedSlots = protocol && protocol->areSlotsExact;
     return settings;
 }
 
@@ -89,7 +89,7 @@
         m_crashes.didReplace(former);
         m_client = makeClient(limits);
         m_admission->didReplaceBackend();
-        ++m_backendLives;
+        ++m_backendIncarnation;
     }
     if (isLeaving(m_backend))
         apply(m_admission->refuseWaiting(Reason::Draining, monotonicNow(), m_random));
@@ -231,7 +231,7 @@
                                                  .level = request.level,
                                                  .deadline = deadline,
                                                  .path = request.path,
-                                                 .hasBegun = request.isDeeperCall,
+                                                 .isDeeperCall = request.isDeeperCall,
                                                  .callsPerRoot = request.callsPerRoot},
                                                 cancellation);
     if (decision.reason != Reason::None)
@@ -333,11 +333,11 @@
     co_return answer;
 }
 
-auto Gate::apply(const admission::Progress &progress) -> void
+auto Gate::apply(const admission::AdmissionActions &actions) -> void
 {
-    for (const auto id : progress.dispatch)
+    for (const auto id : actions.dispatch)
         decide(id, {id, Reason::None, Duration::zero()});
-    for (const auto &it : progress.refuse)
+    for (const auto &it : actions.refuse)
         decide(it.id, it);
 }
 
@@ -355,7 +355,7 @@
 {
     auto report = m_admission->report(monotonicNow());
     report.isDraining = report.isDraining || m_isDraining;
-    report.backendLife = m_backendLives;
+    report.backendIncarnation = m_backendIncarnation;
     return report;
 }
 
@@ -374,7 +374,7 @@
 auto Gate::didTick() -> void
 {
     m_isTicking = false;
-    apply(m_admission->didPassTime(monotonicNow(), m_random));
+    apply(m_admission->advanceTo(monotonicNow(), m_random));
     if (m_admission->queued() > 0)
         ensureTicking();
 }
--- a/source/node/Gate.h
+++ b/source/node/Gate.h
@@ -85,7 +85,7 @@
     auto dispatch(CallId id, transport::CallRequest request, Fingerprint fingerprint,
                   TimePoint deadline, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
-    auto apply(const admission::Progress &progress) -> void;
+    auto apply(const admission::AdmissionActions &actions) -> void;
     auto decide(CallId id, const admission::Refusal &refusal) -> void;
     auto refusal(const transport::CallRequest &request, Reason reason, Duration retryAfter)
             -> transport::CallAnswer;
@@ -100,7 +100,8 @@
     CallIdSource &m_callIds;
     Random m_random;
     LocalBackend m_backend;
-    std::uint32_t m_backendLives = 0; ///< Backend servers that stood here since the node started.
+    /// Number of process instances that the backend server has had since the node started.
+    std::uint32_t m_backendIncarnation = 0;
     std::uint64_t m_backendGeneration = 0;
     std::uint64_t m_floorsGeneration = 0;
     std::uint64_t m_configurationGeneration = 0;
--- a/source/routing/UpstreamView.cpp
+++ b/source/routing/UpstreamView.cpp
@@ -27,7 +27,7 @@
         return;
     if (upstream.incarnation > m_upstream.incarnation) {
         reset(now);
-        m_backendLife = 0; // The restarted gate counts from scratch too.
+        m_backendIncarnation = 0; // The restarted gate counts from scratch too.
     }
     m_upstream = upstream;
 }
@@ -77,10 +77,11 @@
 {
     if (!m_reports.isNewer(report, now, halfLife))
         return;
-    const auto isNewBackend = m_backendLife > 0 && report.backendLife > m_backendLife;
+    const auto isNewBackend =
+            m_backendIncarnation > 0 && report.backendIncarnation > m_backendIncarnation;
     if (isNewBackend)
         reset(now);
-    m_backendLife = report.backendLife;
+    m_backendIncarnation = report.backendIncarnation;
     m_reports.update(report, m_upstream.slots, m_inFlight, now);
     m_floors.update(report.floors, report.pathFloors, now);
 }
--- a/source/routing/UpstreamView.h
+++ b/source/routing/UpstreamView.h
@@ -75,7 +75,7 @@
     auto reset(TimePoint now) -> void;
 
     Upstream m_upstream;
-    std::uint32_t m_backendLife = 0; ///< From the last report.
+    std::uint32_t m_backendIncarnation = 0; ///< From the last report.
     ReportView m_reports;
     FloorView m_floors;
     OutcomeView m_outcomes;
--- a/tests/admission/TestPathFloors.cpp
+++ b/tests/admission/TestPathFloors.cpp
@@ -17,7 +17,7 @@
     return !controller.offer(offer, Now, random).refuse.empty();
 }
 
-Test(PathFloors, aFloorBelowShutsOutThePathThatNeedsIt)
+Test(PathFloors, floorOfAPathRefusesOnlyThatPath)
 {
     auto controller = AdmissionController({});
     controller.setDeeperFloors({}, {{ToMaps, makeLevel(2, 100)}});
@@ -26,7 +26,7 @@
     cr_assert(!isRefused(controller, 3, NoPath));
 }
 
-Test(PathFloors, reportsTellThemBesideTheClassFloors)
+Test(PathFloors, reportsContainPathAndClassFloors)
 {
     auto controller = AdmissionController({});
     controller.setDeeperFloors({}, {{ToMaps, makeLevel(2, 100)}});
@@ -36,7 +36,7 @@
     cr_assert(report.floorFor(2) == LowestLevel);
 }
 
-Test(PathFloors, nobodyWhoTellsThemAnyMoreMakesThemLapse)
+Test(PathFloors, expireUnlessTheyAreSetAgain)
 {
     auto controller = AdmissionController({});
     controller.setDeeperFloors({}, {{ToMaps, makeLevel(2, 100)}});
@@ -44,24 +44,24 @@
     cr_assert(controller.report(Now + 1500ms).floorFor({2, ToMaps}) == LowestLevel);
 }
 
-Test(FixedLimit, slotsThatAreExactHoldFromTheFirstCallOn)
+Test(FixedLimit, followsTheReportedSlotsFromTheStart)
 {
     auto settings = AdmissionSettings();
     settings.reportedSlots = 9;
-    settings.trustsReportedSlots = true;
+    settings.followsReportedSlots = true;
     auto controller = AdmissionController(settings);
     cr_assert_eq(controller.report(Now).limit, 9);
     auto random = Random(1);
     controller.offer({1, makeLevel(0, 1), Now + 5s}, Now, random);
     controller.didComplete(1, Completion::Shed, 10ms, Now, random);
-    cr_assert_eq(controller.report(Now).limit, 9, "nothing is learnt from what was shed");
+    cr_assert_eq(controller.report(Now).limit, 9, "a shed call does not change the limit");
     controller.setReportedSlots(12);
     cr_assert_eq(controller.report(Now).limit, 11);
     controller.didReplaceBackend();
     cr_assert_eq(controller.report(Now).limit, 11);
 }
 
-Test(FixedLimit, aTwentiethOfTheSlotsStaysFreeWhereThatIsLessThanATenth)
+Test(FixedLimit, aTwentiethOfTheSlotsStaysFreeFromTenSlotsOn)
 {
     struct Case
     {
@@ -71,7 +71,7 @@
     for (const auto &it : {Case{0, 1}, Case{1, 1}, Case{2, 2}, Case{9, 9}, Case{10, 9},
                            Case{20, 19}, Case{21, 19}, Case{63, 59}, Case{394, 374}}) {
         auto settings = AdmissionSettings();
-        settings.trustsReportedSlots = true;
+        settings.followsReportedSlots = true;
         settings.reportedSlots = it.slots;
         cr_assert_eq(AdmissionController(settings).report(Now).limit, it.limit, "%u slots",
                      it.slots);
--- a/tests/measure/overload/Host.h
+++ b/tests/measure/overload/Host.h
@@ -25,7 +25,7 @@
         std::string domain;
         std::uint32_t maxQueue = 256;
         std::uint32_t reportedSlots = 1;
-        bool trustsReportedSlots = false;
+        bool followsReportedSlots = false;
         bool hasFloors = true;
         std::uint32_t classes = 1;
         PathKey path = NoPath; ///< The one by which deeper floors are told; none: by class.
@@ -59,7 +59,7 @@
                                                 .level = root.level,
                                                 .deadline = root.deadline,
                                                 .path = root.path,
-                                                .hasBegun = request.isDeeperCall};
+                                                .isDeeperCall = request.isDeeperCall};
         carryOut(m_gate.offer(offer, m_events.now(), m_random));
     }
 
@@ -92,14 +92,14 @@
         auto result = AdmissionSettings();
         result.maxQueue = settings.maxQueue;
         result.reportedSlots = settings.reportedSlots;
-        result.trustsReportedSlots = settings.trustsReportedSlots;
+        result.followsReportedSlots = settings.followsReportedSlots;
         return result;
     }
 
     auto tick() -> void
     {
         tellDeeperFloors();
-        carryOut(m_gate.didPassTime(m_events.now(), m_random));
+        carryOut(m_gate.advanceTo(m_events.now(), m_random));
         m_events.after(m_settings.tickLength, [this] { tick(); });
     }
 
@@ -119,11 +119,11 @@
         m_gate.setDeeperFloors(std::move(floors), {});
     }
 
-    auto carryOut(const Progress &progress) -> void
+    auto carryOut(const AdmissionActions &actions) -> void
     {
-        for (const auto &it : progress.refuse)
+        for (const auto &it : actions.refuse)
             answerAndForget(it.id, {Outcome::NotRun, it.reason, false, 0, it.retryAfter, {}});
-        for (auto it : progress.dispatch)
+        for (auto it : actions.dispatch)
             dispatch(it);
     }
 
@@ -192,7 +192,7 @@
         if (call.isDispatched)
             complete(id, completion, Outcome::Unknown, Reason::DeadlineExceeded);
         else
-            carryOut(m_gate.didPassTime(m_events.now(), m_random));
+            carryOut(m_gate.advanceTo(m_events.now(), m_random));
     }
 
     /// A dispatched call has ended, for whatever reason.
@@ -204,9 +204,9 @@
             m_entry->abandon(*call.deeper);
         const auto unspent = m_ledger.close(id);
         m_backend.release(id);
-        auto progress = m_gate.didComplete(id, completion, latency, m_events.now(), m_random);
+        auto actions = m_gate.didComplete(id, completion, latency, m_events.now(), m_random);
         answerAndForget(id, {outcome, reason, true, unspent, Duration(0), {}});
-        carryOut(progress);
+        carryOut(actions);
     }
 
     auto answerAndForget(CallId id, AttemptAnswer answer) -> void
