--- a/include/stairspur/quarantine/CrashDetector.h
+++ b/include/stairspur/quarantine/CrashDetector.h
@@ -9,35 +9,39 @@
 
 namespace stairspur::quarantine {
 
-/// Who ran at one life of a backend server when it ended. The gate tells what it sees of each call and, once it knows, that the
-/// process has gone.
+/// Finds the requests that were running at one process instance of a backend server when it crashed. The gate reports how
+/// each call ended and, once it has detected it, that the process has exited.
 ///
-/// A connection that breaks proves nothing by itself: resets, garbled answers and idle timeouts break connections of servers
-/// that live on. So broken calls are only kept in mind until it shows which it was.
+/// A broken connection alone is no evidence of a crash: resets, malformed responses and idle timeouts also break connections
+/// of servers that keep running. Calls with a broken connection are therefore recorded until a later event shows whether the
+/// server crashed.
 class CrashDetector
 {
 public:
+    /// Records that a call was sent to the backend server.
     auto didSend(CallId id, const RequestFingerprint &fingerprint) -> void;
-    /// A whole answer: neither this call nor one that had broken before it was sent has ended the server.
+    /// Records that the call received a complete response. Neither this call nor one whose connection broke before this
+    /// one was sent has crashed the server.
     auto didAnswer(CallId id) -> void;
-    /// The call's connection ended without a whole answer. Whether the end of the server would explain it: not if that end
-    /// was taken already.
+    /// Records that the call's connection broke before a complete response. Returns whether a crash of the server could be
+    /// the cause; false when the call was already reported as part of a crash.
     auto didBreak(CallId id) -> bool;
-    /// It ended in another way: cancelled, timed out, never connected.
+    /// Records that the call ended in another way: it was cancelled, timed out, or never connected.
     auto didEndOtherwise(CallId id) -> void;
 
-    /// The server's port refuses connections: it has ended under all calls that run or have broken. Gives their requests, each
-    /// once, and starts anew.
+    /// Records that the server's port refuses connections: the server crashed while all running and all broken calls were
+    /// at it. Returns their requests, sorted and each once, and removes all calls.
     auto takeCrash() -> std::vector<RequestFingerprint>;
-    /// Another life stands in its place, or it has left as it said before: with calls broken unexplained, its end explains
-    /// them. Gives the requests of these, if `wasExpected` is not set, and starts anew.
+    /// Records that another process instance has replaced the server, or that the server has left. If connections of calls
+    /// broke before and the replacement was not announced (`wasExpected` is false), the server crashed: returns the requests
+    /// of all running and all broken calls, sorted and each once. Removes all calls.
     auto didReplace(bool wasExpected) -> std::vector<RequestFingerprint>;
 
 private:
     struct Call
     {
         RequestFingerprint fingerprint;
-        std::uint64_t breaksBefore = 0; ///< Breaks of this life when the call was sent.
+        std::uint64_t breaksBefore = 0; ///< Value of m_breaks when the call was sent.
     };
     struct Break
     {
--- a/include/stairspur/quarantine/CrashRecord.h
+++ b/include/stairspur/quarantine/CrashRecord.h
@@ -10,11 +10,11 @@
 
 namespace stairspur::quarantine {
 
-/// One end of one backend server, drawn at random by the gate that saw it.
+/// Identifies one crash of one backend server; the gate that detected the crash draws it at random.
 using CrashId = std::uint64_t;
 
-/// What is known of one request: the crashes under which it ran, and those of which a whole answer since has acquitted it. Both
-/// only grow, so that records merge in any order.
+/// The crashes during which one request was running, and for each whether a later complete response has cleared the request
+/// of it. Both only grow, so that records can be merged in any order.
 class CrashRecord
 {
 public:
@@ -26,24 +26,26 @@
         auto operator==(const Crash &) const -> bool = default;
     };
 
-    /// Whether anything was new. Beyond `most` crashes no more are told apart, but for those that take the place of an
-    /// acquitted one.
+    /// Adds a crash, or merges it with the recorded crash of the same id. Returns whether the record changed. Once the record
+    /// holds `most` crashes, a new one is only added in place of a cleared one, and only if it is not cleared itself.
     auto add(const Crash &crash, std::size_t most) -> bool;
-    /// The request was answered whole. Whether anything was new.
+    /// Clears the request of all recorded crashes, because it received a complete response. Returns whether the record
+    /// changed.
     auto acquit() -> bool;
+    /// Records the time of a crash; an earlier time than that of the last crash has no effect.
     auto didCrashAt(TimePoint time) -> void { m_lastCrash = std::max(m_lastCrash, time); }
 
-    /// Crashes that still speak against the request.
+    /// Returns the number of crashes of which the request has not been cleared.
     [[nodiscard]] auto count() const -> std::uint32_t;
     [[nodiscard]] auto lastCrash() const -> TimePoint { return m_lastCrash; }
     [[nodiscard]] auto crashes() const -> const std::vector<Crash> & { return m_crashes; }
-    /// The same on all nodes that know the same.
+    /// Returns a hash that is equal on all nodes whose records of the request have the same crashes.
     [[nodiscard]] auto hash(const RequestFingerprint &fingerprint) const -> std::uint64_t;
 
 private:
-    auto forgetOneAcquitted() -> bool;
+    auto removeOneCleared() -> bool;
 
-    std::vector<Crash> m_crashes; ///< By id.
+    std::vector<Crash> m_crashes; ///< Sorted by id.
     TimePoint m_lastCrash = TimePoint::min();
 };
 
--- a/include/stairspur/quarantine/Messages.h
+++ b/include/stairspur/quarantine/Messages.h
@@ -11,49 +11,52 @@
 #include <stairspur/quarantine/CrashRecord.h>
 #include <stairspur/quarantine/RequestFingerprint.h>
 
-/// What the nodes of one service tell each other about requests under which backend servers end: CBOR in datagrams.
+/// The messages that the nodes of one service exchange about requests that crash backend servers: CBOR in datagrams.
 namespace stairspur::quarantine {
 
-/// A backend server has just ended under these requests.
+/// Reports that a backend server has just crashed while these requests were running.
 struct CrashNews
 {
     CrashId crash = 0;
-    bool mayPassOn = false; ///< Not every peer was told: whoever finds news in it tells others.
+    /// Whether a receiver to which any of it is new forwards the message; set when it is not sent to every peer.
+    bool mayPassOn = false;
     std::vector<RequestFingerprint> requests;
 };
 
-/// What the sender knows, as one number. A peer that knows something else answers with its records.
+/// A hash over the sender's records of suspected and refused requests. A peer with another hash replies with its records.
 struct Digest
 {
     std::uint64_t hash = 0;
-    bool isReply = false; ///< To a digest: it is not answered by another one.
+    bool isReply =
+            false; ///< Whether it replies to a digest; the receiver of a reply sends no digest back.
 };
 
-/// Records of single requests; each replaces nothing and adds to what is known.
+/// Records of single requests, which the receiver merges with its own.
 struct Records
 {
     struct Item
     {
         RequestFingerprint request;
         std::vector<CrashRecord::Crash> crashes;
-        Duration age{0}; ///< Since the last crash.
+        Duration age{0}; ///< Time since the last crash.
     };
 
-    bool mayPassOn = false; ///< As in CrashNews.
+    bool mayPassOn = false; ///< Same meaning as in CrashNews.
     std::vector<Item> items;
 };
 
 using Message = std::variant<CrashNews, Digest, Records>;
 
-/// `news` in messages of `mostBytes` each, at most.
+/// Splits `news` into messages of at most `mostBytes` bytes each.
 auto splitNews(const CrashNews &news, std::size_t mostBytes) -> std::vector<CrashNews>;
 
-/// `records` in messages of `mostBytes` each, at most.
+/// Splits `records` into messages of at most `mostBytes` bytes each.
 auto splitRecords(const Records &records, std::size_t mostBytes) -> std::vector<Records>;
 
+/// Returns the message encoded as CBOR.
 auto writeMessage(const Message &message) -> std::string;
 
-/// Throws InputError on bytes that are no message.
+/// Decodes a message from CBOR. Throws InputError if the bytes are not a valid message.
 auto readMessage(std::string_view bytes) -> Message;
 
 } // namespace stairspur::quarantine
--- a/include/stairspur/quarantine/QuarantineSettings.h
+++ b/include/stairspur/quarantine/QuarantineSettings.h
@@ -9,25 +9,26 @@
 
 namespace stairspur::quarantine {
 
-/// What the quarantine of one node is set to.
+/// Settings of the quarantine of one node.
 struct QuarantineSettings
 {
     NodeId node;
 
-    /// Crashes from which on a request runs alone: no other suspect of so many runs at the same backend server meanwhile, so
-    /// that the next crash tells which of them it was. One crash is not enough: it leaves all that ran beside the guilty one, which
-    /// would wait for each other without need.
+    /// Number of crashes from which on a request is suspected: it runs while no other suspected request runs at the same
+    /// backend server, so that the next crash identifies the one that caused it. One crash is not enough: all requests that
+    /// ran beside the cause would be suspected as well, and would wait for each other without need.
     std::uint32_t crashesToTrial = 2;
-    /// Crashes from which on it is refused. By the second one two requests may have been together by chance (sent on
-    /// together after the first); the third finds the guilty one alone.
+    /// Number of crashes from which on a request is refused. Two requests may run together at both of the first two crashes by
+    /// chance (both are sent on together after the first); at the third, the one that causes it is the only suspected one.
     std::uint32_t crashesToRefuse = 3;
-    /// How long it is refused before it may run once more, doubled with each further crash. Long enough that a service whose
-    /// servers need a minute to start loses one of them in five at most; short enough that a wrong verdict, or a service that has been
-    /// mended, costs its callers minutes.
+    /// Time for which a request is refused before it may run once more; doubled with each further crash, up to longestHold.
+    /// Long enough that a service whose servers need a minute to start loses at most one of five to it; short enough that
+    /// callers lose only minutes if the request was refused wrongly or the service has been fixed.
     Duration firstHold{300'000'000};
+    /// Upper bound of the time for which a request is refused after one crash.
     Duration longestHold{3'600'000'000};
 
-    /// How long a request is refused after its last crash.
+    /// Returns the time for which a request with `crashes` crashes is refused after the last one.
     [[nodiscard]] auto holdAfter(std::uint32_t crashes) const -> Duration
     {
         auto hold = firstHold;
@@ -36,34 +37,37 @@
         return std::min(hold, longestHold);
     }
 
-    /// How long a suspicion lasts without another crash. A client that comes back does so within seconds or minutes.
+    /// Time after the last crash at which the record of a request that is not refused is removed. A client that retries a
+    /// request does so within seconds or minutes.
     Duration suspicionTime{600'000'000};
 
-    /// Requests that are remembered. At 150 bytes each it is 0.6 MB; a crash leaves some 60.
+    /// Upper bound of the number of requests that are recorded. At 150 bytes each, they take 0.6 MB; one crash adds about 60.
     std::size_t mostRecords = 4'096;
-    /// Crashes of one request that are told apart.
+    /// Upper bound of the number of crashes that are recorded for one request.
     std::size_t mostCrashesOfOne = 12;
 
-    /// Peers that are told something new at once. With 8 each who passes it on, all but e^-8 of a service hear of it (rumor
-    /// mongering, Demers et al., PODC 1987); the rest with the next digest.
+    /// Number of peers to which a change is sent at once. If each receiver forwards it to 8 peers, all nodes of a service but
+    /// a share of e^-8 receive it (rumor mongering, Demers et al., PODC 1987); the others receive it with the next digest.
     std::uint32_t fanOut = 8;
-    /// Between two comparisons with a random peer, while there is anything to compare.
+    /// Time between two digests that are sent to a random peer, while any request is suspected or refused.
     Duration digestInterval{1'000'000};
-    /// So long a node asks its peers after its start, or after it stood still, even though it knows of nothing, and so often.
-    /// Where all nodes but one start at once, all know its verdicts within three seconds (with one question a second, 12 of 15).
+    /// Time after its start, or after a gap between two ticks, in which a node sends digests even if it has no records.
     Duration catchUpTime{10'000'000};
+    /// Time between two digests during catchUpTime. If all nodes of a service but one start at once, all of them have the
+    /// records of that one within three seconds; with one digest a second, only 12 of 15 have.
     Duration catchUpInterval{250'000};
-    /// A gap between two ticks that means that the process did not run, three times the longest pause between two.
+    /// Gap between two ticks from which on the process is taken to have been suspended: three times the longest regular time
+    /// between two ticks.
     Duration standstill{3'000'000};
-    /// Answers that acquit requests of a single crash are told together; those that free a request that is on trial or refused
-    /// are told at once.
+    /// Delay with which complete responses that clear requests of a single crash are sent to peers in one batch. Those that
+    /// clear a suspected or refused request are sent at once.
     Duration answersPause{20'000};
-    /// So long an answer speaks for its request against a crash that is heard of afterwards: the word of a crash may come
-    /// later than the next run, and what was served a moment ago does not end servers.
+    /// Time for which a complete response clears its request also of crashes that are reported after it. The report of a crash
+    /// may arrive after the next run of the request, and a request that was just served does not crash servers.
     Duration answerMemory{2'000'000};
-    /// Leaves room for the envelope in a datagram of 1400 bytes.
+    /// Upper bound of a payload, in bytes. It leaves room for the envelope in a datagram of 1400 bytes.
     std::size_t mostPayloadBytes = 1'200;
-    /// Datagrams that answer one digest, at most.
+    /// Upper bound of the number of datagrams that are sent in reply to one digest.
     std::uint32_t recordDatagrams = 4;
 };
 
--- a/include/stairspur/quarantine/QuarantineState.h
+++ b/include/stairspur/quarantine/QuarantineState.h
@@ -16,35 +16,37 @@
 
 namespace stairspur::quarantine {
 
-/// What a gate does with a request.
+/// Whether a gate lets a request run.
 enum class Standing {
-    Clear,   ///< It runs as any other.
-    OnTrial, ///< It runs alone: with no other one on trial at the same backend server.
-    Refused, ///< Nothing of it is sent.
+    Clear,   ///< The request runs without restriction.
+    OnTrial, ///< Suspected: it runs while no other suspected request runs at the same backend server.
+    Refused, ///< The request is not sent to a backend server.
 };
 
+/// What a gate does with a request.
 struct Judgement
 {
     Standing standing = Standing::Clear;
-    Duration retryAfter{0}; ///< When it may run again, for refused ones.
+    Duration retryAfter{0}; ///< Time after which a refused request may run again; otherwise zero.
 };
 
+/// Change of a request's standing.
 enum class QuarantineChange {
     OnTrial,
     Refused,
     Acquitted,
 };
 
-/// A request's standing has changed, for logs and counters.
+/// Reports a change of a request's standing, for logs and for the store.
 struct QuarantineEvent
 {
     QuarantineChange change = QuarantineChange::OnTrial;
     RequestFingerprint request;
     std::uint32_t crashes = 0;
-    bool isOwn = false; ///< This node's gate saw what changed it; else a peer told.
+    bool isOwn = false; ///< Whether this node's gate caused the change; otherwise, a peer did.
 };
 
-/// A request that is on trial or refused, for operators.
+/// A request that is suspected or refused, for operators.
 struct QuarantineEntry
 {
     RequestFingerprint request;
@@ -52,95 +54,105 @@
     Judgement judgement;
 };
 
+/// A message to a peer, to be sent as one datagram.
 struct QuarantineDatagram
 {
     NodeId to;
     std::string payload;
 };
 
-/// Which requests of one service end the backend servers that run them, as the gates of that service find out together.
+/// Finds the requests of one service that crash the backend servers which run them, together with the other gates of the
+/// service.
 ///
-/// A crash speaks against every request that ran there. All but one are innocent: they run elsewhere a moment later, and one
-/// whole answer anywhere acquits. The guilty one is at each next crash; from the second on it runs alone, so that the third
-/// finds it without company. Then it is refused by every gate of the service, whichever host it comes through. What a
-/// node finds goes to its peers at once, and to those that were out of reach by comparing digests.
+/// A crash is recorded for every request that was running at the server. All but one of them did not cause it: they run at
+/// another server shortly after, and one complete response at any server clears them. The request that causes crashes is
+/// running at each further crash. From the second crash on it is suspected and runs without another suspected request at the
+/// same server, so that the third crash identifies it. Every gate of the service then refuses it, whichever host it comes
+/// through. A node sends each change to its peers at once; peers that could not be reached receive it by comparing digests.
 ///
-/// Pure: time, randomness and messages are handed in, datagrams and events are taken out.
+/// The class does no I/O: time, randomness and received messages are parameters; the caller takes datagrams and events.
 class QuarantineState
 {
 public:
+    /// Seeds the random choices with `seed`; `now` is the time of the start.
     QuarantineState(QuarantineSettings settings, std::uint64_t seed, TimePoint now);
 
-    /// The other nodes whose backend servers belong to the same service.
+    /// Sets the other nodes whose backend servers belong to the same service.
     auto setPeers(std::vector<NodeId> peers) -> void { m_peers = std::move(peers); }
 
-    /// This node's backend server has ended under these requests.
+    /// Records that this node's backend server crashed while these requests were running.
     auto didCrash(const std::vector<RequestFingerprint> &requests, TimePoint now) -> void;
-    /// This node's backend server has answered the request whole.
+    /// Records that this node's backend server sent a complete response to the request.
     auto didAnswer(const RequestFingerprint &request, TimePoint now) -> void;
-    /// An operator lets the request of this name run again. How many were on trial or refused under it.
+    /// Clears all suspected or refused requests of this name on behalf of an operator. Returns their number.
     auto release(std::string_view name, TimePoint now) -> std::size_t;
+    /// Returns whether the request may run now.
     [[nodiscard]] auto judge(const RequestFingerprint &request, TimePoint now) const -> Judgement;
 
-    /// A datagram of a peer. Throws InputError when it cannot be read.
+    /// Processes a datagram of a peer. Throws InputError if it is not a valid message.
     auto receive(const NodeId &from, std::string_view payload, TimePoint now) -> void;
-    /// Does what is due. Call once a second, and at nextDue().
+    /// Removes expired records and sends what is due. To be called once a second and at nextDue().
     auto tick(TimePoint now) -> void;
+    /// Returns the time at which tick() has to be called, if that may be earlier than a second after the last call.
     [[nodiscard]] auto nextDue() const -> std::optional<TimePoint>;
 
+    /// Returns the datagrams to be sent, and removes them.
     auto takeDatagrams() -> std::vector<QuarantineDatagram>;
+    /// Returns the events since the last call, and removes them.
     auto takeEvents() -> std::vector<QuarantineEvent>;
 
-    /// What is known of one request, to be kept where it outlives all nodes.
+    /// Returns the encoded record of one request, for a store that outlives a restart of all nodes.
     [[nodiscard]] auto save(const RequestFingerprint &request, TimePoint now) const -> std::string;
-    /// Takes over what save() gave. Throws InputError when it cannot be read.
+    /// Merges records that save() returned. Throws InputError if `saved` is not a valid message.
     auto restore(std::string_view saved, TimePoint now) -> void;
 
-    /// Requests that are on trial or refused, by fingerprint.
+    /// Returns the requests that are suspected or refused, sorted by fingerprint.
     [[nodiscard]] auto entries(TimePoint now) const -> std::vector<QuarantineEntry>;
+    /// Returns the number of requests that are recorded.
     [[nodiscard]] auto size() const -> std::size_t { return m_records.size(); }
 
 private:
-    auto takeCrash(const RequestFingerprint &request, CrashId crash, TimePoint now, bool isOwn)
+    auto recordCrash(const RequestFingerprint &request, CrashId crash, TimePoint now, bool isOwn)
+            -> bool;
+    auto mergeItem(const Records::Item &item, TimePoint now) -> bool;
+    auto clearRequest(const RequestFingerprint &request, CrashRecord &record, TimePoint now)
             -> bool;
-    auto takeItem(const Records::Item &item, TimePoint now) -> bool;
-    auto acquit(const RequestFingerprint &request, CrashRecord &record, TimePoint now) -> bool;
-    [[nodiscard]] auto wasJustAnswered(const RequestFingerprint &request, TimePoint now) const
+    [[nodiscard]] auto wasRecentlyAnswered(const RequestFingerprint &request, TimePoint now) const
             -> bool;
-    auto noteStanding(const RequestFingerprint &request, std::uint32_t before, std::uint32_t after,
+    auto reportChange(const RequestFingerprint &request, std::uint32_t before, std::uint32_t after,
                       bool isOwn) -> void;
-    auto receiveNews(CrashNews news, TimePoint now) -> void;
+    auto receiveCrashReport(CrashNews news, TimePoint now) -> void;
     auto receiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void;
     auto receiveRecords(const NodeId &from, Records records, TimePoint now) -> void;
     auto sendDigest(TimePoint now) -> void;
-    auto sendAnswers(TimePoint now) -> void;
-    auto sendBinding(const NodeId &to, TimePoint now) -> void;
-    auto sendNews(CrashId crash, std::vector<RequestFingerprint> requests) -> void;
+    auto sendClearances(TimePoint now) -> void;
+    auto sendRestricted(const NodeId &to, TimePoint now) -> void;
+    auto sendCrashReport(CrashId crash, std::vector<RequestFingerprint> requests) -> void;
     auto sendRecords(const std::vector<NodeId> &to, const Records &records,
                      std::size_t mostDatagrams) -> void;
     auto send(const std::vector<NodeId> &to, const Message &message) -> void;
-    auto forget(TimePoint now) -> void;
-    auto makeRoom() -> void;
+    auto removeExpired(TimePoint now) -> void;
+    auto removeSurplus() -> void;
 
-    [[nodiscard]] auto isBinding(const CrashRecord &record) const -> bool;
-    [[nodiscard]] auto ownsTrial(const RequestFingerprint &request) const -> bool;
+    /// Returns whether the request is suspected or refused.
+    [[nodiscard]] auto isRestricted(const CrashRecord &record) const -> bool;
+    [[nodiscard]] auto isChosenToRetry(const RequestFingerprint &request) const -> bool;
     [[nodiscard]] auto digest() const -> std::uint64_t;
     [[nodiscard]] auto itemOf(const RequestFingerprint &request, const CrashRecord &record,
                               TimePoint now) const -> Records::Item;
-    [[nodiscard]] auto knowsMoreThan(const Records::Item &item) const -> bool;
-    auto somePeers() -> std::vector<NodeId>;
-    [[nodiscard]] auto areAllPeersSome() const -> bool
-    {
-        return m_peers.size() <= m_settings.fanOut;
-    }
+    [[nodiscard]] auto hasMoreThan(const Records::Item &item) const -> bool;
+    /// Returns the peers to which a change is sent: all of them, or a random sample of fanOut.
+    auto pickPeers() -> std::vector<NodeId>;
+    [[nodiscard]] auto picksAllPeers() const -> bool { return m_peers.size() <= m_settings.fanOut; }
 
     QuarantineSettings m_settings;
     Random m_random;
     std::vector<NodeId> m_peers;
     std::unordered_map<RequestFingerprint, CrashRecord> m_records;
-    std::unordered_map<RequestFingerprint, TimePoint> m_recentAnswers; ///< Of this backend server.
-    std::vector<RequestFingerprint> m_answered; ///< Acquitted here, and not yet told.
-    std::optional<TimePoint> m_answersDue;
+    /// Times of the latest complete responses of this backend server.
+    std::unordered_map<RequestFingerprint, TimePoint> m_recentAnswers;
+    std::vector<RequestFingerprint> m_unsentClearances; ///< Cleared here, and not yet sent.
+    std::optional<TimePoint> m_clearancesDue;
     TimePoint m_lastTick;
     TimePoint m_nextDigest;
     TimePoint m_catchUpUntil;
--- a/include/stairspur/quarantine/RequestFingerprint.h
+++ b/include/stairspur/quarantine/RequestFingerprint.h
@@ -7,23 +7,25 @@
 #include <string>
 #include <string_view>
 
-/// Requests that end the backend servers which run them (poison requests, queries of death): who is suspected, who is
-/// stopped, and how the nodes of one service agree on it.
+/// Quarantine of requests that crash the backend servers which run them (poison requests, queries of death): which requests
+/// are suspected, which are refused, and how the nodes of one service agree on it.
 namespace stairspur::quarantine {
 
-/// What makes two requests the same one. Attempt ids, deadlines and the host where a request began differ each time that it
-/// comes; what its caller wants does not.
+/// The parts of a request that stay equal when the same request is sent again. Attempt ids, deadlines and the host where the
+/// request entered differ each time and are left out.
 struct RequestIdentity
 {
     std::string_view service;
-    std::string_view caller; ///< Nobody can have another caller's requests taken for his own.
+    std::string_view
+            caller; ///< Included so that no caller can get another caller's request suspected.
     std::string_view method;
     std::string_view host;
-    std::string_view target; ///< With its query.
+    std::string_view target; ///< Path with query string.
     std::string_view body;
 };
 
-/// 128 bits of a request's SHA-256: the same on every host, and nothing that a caller could aim at another one's request.
+/// 128 bits of the SHA-256 of a request. It is equal on every host, and no caller can construct a request whose fingerprint
+/// collides with that of another request.
 struct RequestFingerprint
 {
     std::uint64_t high = 0;
@@ -31,10 +33,11 @@
 
     auto operator<=>(const RequestFingerprint &) const = default;
 
-    /// The first 12 of its hexadecimal digits, by which operators name it.
+    /// Returns the first 12 hexadecimal digits, by which operators refer to the request.
     [[nodiscard]] auto name() const -> std::string;
 };
 
+/// Returns the fingerprint of a request.
 auto fingerprintOf(const RequestIdentity &request) -> RequestFingerprint;
 
 } // namespace stairspur::quarantine
--- a/source/quarantine/CrashDetector.cpp
+++ b/source/quarantine/CrashDetector.cpp
@@ -14,7 +14,7 @@
     const auto it = m_calls.find(id);
     if (it == m_calls.end())
         return;
-    // Sent after these had broken, and served by the same life: they did not end it.
+    // The call was sent after these connections broke and the same process instance served it, so they did not crash it.
     std::erase_if(m_broken, [breaks = it->second.breaksBefore](const auto &broken) {
         return broken.ordinal <= breaks;
     });
--- a/source/quarantine/CrashRecord.cpp
+++ b/source/quarantine/CrashRecord.cpp
@@ -13,18 +13,18 @@
     const auto isBefore = [](const auto &a, CrashId id) { return a.id < id; };
     const auto it = std::lower_bound(m_crashes.begin(), m_crashes.end(), crash.id, isBefore);
     if (it != m_crashes.end() && it->id == crash.id) {
-        const auto isNews = crash.isAcquitted && !it->isAcquitted;
+        const auto hasChanged = crash.isAcquitted && !it->isAcquitted;
         it->isAcquitted = it->isAcquitted || crash.isAcquitted;
-        return isNews;
+        return hasChanged;
     }
-    if (m_crashes.size() >= most && (crash.isAcquitted || !forgetOneAcquitted()))
+    if (m_crashes.size() >= most && (crash.isAcquitted || !removeOneCleared()))
         return false;
     const auto at = std::lower_bound(m_crashes.begin(), m_crashes.end(), crash.id, isBefore);
     m_crashes.insert(at, crash);
     return true;
 }
 
-auto CrashRecord::forgetOneAcquitted() -> bool
+auto CrashRecord::removeOneCleared() -> bool
 {
     const auto it = std::find_if(m_crashes.begin(), m_crashes.end(),
                                  [](const auto &crash) { return crash.isAcquitted; });
@@ -36,10 +36,10 @@
 
 auto CrashRecord::acquit() -> bool
 {
-    auto isNews = false;
+    auto hasChanged = false;
     for (auto &it : m_crashes)
-        isNews = !std::exchange(it.isAcquitted, true) || isNews;
-    return isNews;
+        hasChanged = !std::exchange(it.isAcquitted, true) || hasChanged;
+    return hasChanged;
 }
 
 auto CrashRecord::count() const -> std::uint32_t
--- a/source/quarantine/Messages.cpp
+++ b/source/quarantine/Messages.cpp
@@ -11,14 +11,15 @@
 
 using Json = nlohmann::json;
 
-/// Of the three messages, first in each.
+/// Kind of a message; the first element of each encoded message.
 enum class Kind : std::uint8_t {
     CrashNews = 1,
     Digest = 2,
     Records = 3,
 };
 
-static constexpr auto MostKind = std::uint64_t{255};
+/// The largest value of the underlying type of Kind; larger numbers are read as this one.
+static constexpr auto MaxKind = std::uint64_t{255};
 
 static auto toJson(const RequestFingerprint &it) -> Json
 {
@@ -60,18 +61,19 @@
     return Json::array({Kind::Records, it.mayPassOn, toJson(it.items)});
 }
 
-/// Bytes of one request in CrashNews, and of one item in Records with `crashes` crashes, at most.
-static constexpr auto BytesOfRequest = std::size_t{20};
-static constexpr auto bytesOfItem(std::size_t crashes) -> std::size_t
+/// Upper bound of the encoded size of one request in CrashNews, in bytes.
+static constexpr auto MaxRequestBytes = std::size_t{20};
+/// Returns an upper bound of the encoded size of one item in Records with `crashes` crashes, in bytes.
+static constexpr auto maxItemBytes(std::size_t crashes) -> std::size_t
 {
     return 40 + 12 * crashes;
 }
-/// Bytes of a message without requests and items, at most.
-static constexpr auto BytesOfFrame = std::size_t{32};
+/// Upper bound of the encoded size of a message without its requests or items, in bytes.
+static constexpr auto MaxFrameBytes = std::size_t{32};
 
 auto splitNews(const CrashNews &news, std::size_t mostBytes) -> std::vector<CrashNews>
 {
-    const auto perMessage = (mostBytes - BytesOfFrame) / BytesOfRequest;
+    const auto perMessage = (mostBytes - MaxFrameBytes) / MaxRequestBytes;
     auto parts = std::vector<CrashNews>();
     for (const auto &it : news.requests) {
         if (parts.empty() || parts.back().requests.size() >= perMessage)
@@ -86,10 +88,10 @@
     auto parts = std::vector<Records>();
     auto bytes = std::size_t{0};
     for (const auto &it : records.items) {
-        const auto size = bytesOfItem(it.crashes.size());
+        const auto size = maxItemBytes(it.crashes.size());
         if (parts.empty() || bytes + size > mostBytes) {
             parts.push_back({records.mayPassOn, {}});
-            bytes = BytesOfFrame;
+            bytes = MaxFrameBytes;
         }
         bytes += size;
         parts.back().items.push_back(it);
@@ -102,12 +104,13 @@
     return toCbor(std::visit([](const auto &it) { return toJson(it); }, message));
 }
 
-/// The library would convert a fraction, and a negative number, as C++ does.
+/// Throws InputError on a fraction or a negative number, which the library would silently convert as C++ does.
 static auto readNumber(const Json &json) -> std::uint64_t
 {
     if (!json.is_number_unsigned())
-        throw InputError("a message of the quarantine has something else in place of a number",
-                         "let only nodes send to the peer port");
+        throw InputError(
+                "a quarantine message does not have an unsigned integer where one is required",
+                "allow only nodes to send to the peer port");
     return json.get<std::uint64_t>();
 }
 
@@ -128,13 +131,13 @@
 
 static auto readItem(const Json &json) -> Records::Item
 {
-    /// A day; more would overflow when it is taken from a time.
-    static constexpr auto MostAge = std::uint64_t{86'400'000'000};
+    /// One day, in microseconds. Subtracting a much larger age from a time point would overflow.
+    static constexpr auto MaxAge = std::uint64_t{86'400'000'000};
     auto item = Records::Item();
     item.request = readFingerprint(json.at(0));
     for (const auto &it : json.at(1))
         item.crashes.push_back({readNumber(it.at(0)), it.at(1).get<bool>()});
-    item.age = Duration{std::min(readNumber(json.at(2)), MostAge)};
+    item.age = Duration{std::min(readNumber(json.at(2)), MaxAge)};
     return item;
 }
 
@@ -147,9 +150,10 @@
     return records;
 }
 
-static auto readKnownKind(const Json &json) -> Message
+/// Throws InputError if the kind is unknown.
+static auto readByKind(const Json &json) -> Message
 {
-    switch (static_cast<Kind>(std::min(readNumber(json.at(0)), MostKind))) {
+    switch (static_cast<Kind>(std::min(readNumber(json.at(0)), MaxKind))) {
     case Kind::CrashNews:
         return readCrashNews(json);
     case Kind::Digest:
@@ -157,17 +161,17 @@
     case Kind::Records:
         return readRecords(json);
     }
-    throw InputError("a message of the quarantine of an unknown kind",
-                     "let all nodes run versions that know each other");
+    throw InputError("a quarantine message is of an unknown kind",
+                     "run compatible versions on all nodes");
 }
 
 auto readMessage(std::string_view bytes) -> Message
 {
     try {
-        return readKnownKind(fromCbor(bytes));
+        return readByKind(fromCbor(bytes));
     } catch (const Json::exception &error) {
-        throw InputError(std::string("no message of the quarantine: ") + error.what(),
-                         "let only nodes send to the peer port");
+        throw InputError(std::string("a quarantine message is malformed: ") + error.what(),
+                         "allow only nodes to send to the peer port");
     }
 }
 
--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -8,7 +8,7 @@
 
 namespace stairspur::quarantine {
 
-/// When to come back for the one node that may try the request again.
+/// Retry delay that is returned for a request which another node may run again now, until that node has the result.
 static constexpr auto TrialRetryAfter = Duration{1'000'000};
 
 QuarantineState::QuarantineState(QuarantineSettings settings, std::uint64_t seed, TimePoint now)
@@ -25,28 +25,28 @@
     const auto crash = CrashId{m_random()};
     auto suspects = std::vector<RequestFingerprint>();
     for (const auto &it : requests) {
-        if (wasJustAnswered(it, now))
+        if (wasRecentlyAnswered(it, now))
             continue;
-        takeCrash(it, crash, now, true);
+        recordCrash(it, crash, now, true);
         suspects.push_back(it);
     }
-    sendNews(crash, std::move(suspects));
-    makeRoom();
+    sendCrashReport(crash, std::move(suspects));
+    removeSurplus();
 }
 
-auto QuarantineState::takeCrash(const RequestFingerprint &request, CrashId crash, TimePoint now,
-                                bool isOwn) -> bool
+auto QuarantineState::recordCrash(const RequestFingerprint &request, CrashId crash, TimePoint now,
+                                  bool isOwn) -> bool
 {
     auto &record = m_records[request];
     const auto before = record.count();
     record.didCrashAt(now);
     if (!record.add({crash, false}, m_settings.mostCrashesOfOne))
         return false;
-    noteStanding(request, before, record.count(), isOwn);
+    reportChange(request, before, record.count(), isOwn);
     return true;
 }
 
-auto QuarantineState::noteStanding(const RequestFingerprint &request, std::uint32_t before,
+auto QuarantineState::reportChange(const RequestFingerprint &request, std::uint32_t before,
                                    std::uint32_t after, bool isOwn) -> void
 {
     const auto crosses = [&](std::uint32_t limit) { return before < limit && after >= limit; };
@@ -68,10 +68,10 @@
         return;
     const auto it = m_records.find(request);
     if (it != m_records.end())
-        acquit(request, it->second, now);
+        clearRequest(request, it->second, now);
 }
 
-auto QuarantineState::wasJustAnswered(const RequestFingerprint &request, TimePoint now) const
+auto QuarantineState::wasRecentlyAnswered(const RequestFingerprint &request, TimePoint now) const
         -> bool
 {
     const auto it = m_recentAnswers.find(request);
@@ -82,26 +82,26 @@
 {
     auto released = std::size_t{0};
     for (auto &[request, record] : m_records) {
-        const auto isMeant = isBinding(record) && request.name() == name;
-        if (isMeant && acquit(request, record, now))
+        const auto isSelected = isRestricted(record) && request.name() == name;
+        if (isSelected && clearRequest(request, record, now))
             ++released;
     }
     return released;
 }
 
-auto QuarantineState::acquit(const RequestFingerprint &request, CrashRecord &record, TimePoint now)
-        -> bool
+auto QuarantineState::clearRequest(const RequestFingerprint &request, CrashRecord &record,
+                                   TimePoint now) -> bool
 {
     const auto before = record.count();
     if (!record.acquit())
         return false;
-    noteStanding(request, before, 0, true);
-    m_answered.push_back(request);
-    if (!m_answersDue)
-        m_answersDue = now + m_settings.answersPause;
-    // Until the others know, they refuse it, or hold it back.
+    reportChange(request, before, 0, true);
+    m_unsentClearances.push_back(request);
+    if (!m_clearancesDue)
+        m_clearancesDue = now + m_settings.answersPause;
+    // The other nodes refuse or delay the request until they receive this.
     if (before >= m_settings.crashesToTrial)
-        sendAnswers(now);
+        sendClearances(now);
     return true;
 }
 
@@ -110,7 +110,7 @@
     if (m_records.empty())
         return {};
     const auto it = m_records.find(request);
-    if (it == m_records.end() || !isBinding(it->second))
+    if (it == m_records.end() || !isRestricted(it->second))
         return {};
     const auto n = it->second.count();
     if (n < m_settings.crashesToRefuse)
@@ -118,19 +118,20 @@
     const auto until = it->second.lastCrash() + m_settings.holdAfter(n);
     if (now < until)
         return {Standing::Refused, until - now};
-    // One node tries it: all of them at once would lose a backend server each.
-    if (ownsTrial(request))
+    // Only one node runs the request again: if all did, each could lose a backend server.
+    if (isChosenToRetry(request))
         return {Standing::OnTrial, Duration::zero()};
     return {Standing::Refused, TrialRetryAfter};
 }
 
-auto QuarantineState::isBinding(const CrashRecord &record) const -> bool
+auto QuarantineState::isRestricted(const CrashRecord &record) const -> bool
 {
     return record.count() >= m_settings.crashesToTrial;
 }
 
-/// Highest random weight (Thaler and Ravishankar, 1998): nodes that know the same peers name the same one.
-auto QuarantineState::ownsTrial(const RequestFingerprint &request) const -> bool
+/// Returns whether this node is the one that runs a refused request again. It has the highest random weight (Thaler and
+/// Ravishankar, 1998), so that nodes with the same peers choose the same node.
+auto QuarantineState::isChosenToRetry(const RequestFingerprint &request) const -> bool
 {
     const auto weight = [&](const NodeId &node) { return hash64(node, request.low); };
     const auto own = weight(m_settings.node);
@@ -142,24 +143,24 @@
 {
     auto message = readMessage(payload);
     if (auto *news = std::get_if<CrashNews>(&message))
-        receiveNews(std::move(*news), now);
+        receiveCrashReport(std::move(*news), now);
     else if (const auto *digest = std::get_if<Digest>(&message))
         receiveDigest(from, *digest, now);
     else if (auto *records = std::get_if<Records>(&message))
         receiveRecords(from, std::move(*records), now);
-    makeRoom();
+    removeSurplus();
 }
 
-auto QuarantineState::receiveNews(CrashNews news, TimePoint now) -> void
+auto QuarantineState::receiveCrashReport(CrashNews news, TimePoint now) -> void
 {
-    auto isNews = false;
+    auto hasChanged = false;
     for (const auto &it : news.requests) {
-        isNews = takeCrash(it, news.crash, now, false) || isNews;
-        if (wasJustAnswered(it, now))
-            acquit(it, m_records.at(it), now);
+        hasChanged = recordCrash(it, news.crash, now, false) || hasChanged;
+        if (wasRecentlyAnswered(it, now))
+            clearRequest(it, m_records.at(it), now);
     }
-    if (isNews && news.mayPassOn)
-        send(somePeers(), news);
+    if (hasChanged && news.mayPassOn)
+        send(pickPeers(), news);
 }
 
 auto QuarantineState::receiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
@@ -167,49 +168,49 @@
     const auto own = this->digest();
     if (own == digest.hash)
         return;
-    sendBinding(from, now);
+    sendRestricted(from, now);
     if (!digest.isReply)
         send({from}, Digest{own, true});
 }
 
 auto QuarantineState::receiveRecords(const NodeId &from, Records records, TimePoint now) -> void
 {
-    auto isNews = false;
+    auto hasChanged = false;
     auto missing = Records();
     for (const auto &it : records.items) {
-        isNews = takeItem(it, now) || isNews;
-        if (knowsMoreThan(it))
+        hasChanged = mergeItem(it, now) || hasChanged;
+        if (hasMoreThan(it))
             missing.items.push_back(itemOf(it.request, m_records.at(it.request), now));
     }
     sendRecords({from}, missing, m_settings.recordDatagrams);
-    if (isNews && records.mayPassOn)
-        send(somePeers(), records);
+    if (hasChanged && records.mayPassOn)
+        send(pickPeers(), records);
 }
 
-auto QuarantineState::takeItem(const Records::Item &item, TimePoint now) -> bool
+auto QuarantineState::mergeItem(const Records::Item &item, TimePoint now) -> bool
 {
     if (item.age >= 2 * m_settings.longestHold)
         return false;
     auto &record = m_records[item.request];
     const auto before = record.count();
-    auto isNews = false;
+    auto hasChanged = false;
     for (const auto &it : item.crashes)
-        isNews = record.add(it, m_settings.mostCrashesOfOne) || isNews;
+        hasChanged = record.add(it, m_settings.mostCrashesOfOne) || hasChanged;
     record.didCrashAt(now - item.age);
-    noteStanding(item.request, before, record.count(), false);
-    return isNews;
+    reportChange(item.request, before, record.count(), false);
+    return hasChanged;
 }
 
-/// Crashes, or acquittals, that the sender of the item has not heard of.
-auto QuarantineState::knowsMoreThan(const Records::Item &item) const -> bool
+/// Returns whether this node has recorded a crash of the request that the item lacks, or another value of isAcquitted.
+auto QuarantineState::hasMoreThan(const Records::Item &item) const -> bool
 {
     const auto it = m_records.find(item.request);
     if (it == m_records.end())
         return false;
-    const auto &known = it->second.crashes();
-    return std::any_of(known.begin(), known.end(), [&item](const auto &own) {
-        return std::none_of(item.crashes.begin(), item.crashes.end(), [&own](const auto &heard) {
-            return heard.id == own.id && heard.isAcquitted == own.isAcquitted;
+    const auto &recorded = it->second.crashes();
+    return std::any_of(recorded.begin(), recorded.end(), [&item](const auto &own) {
+        return std::none_of(item.crashes.begin(), item.crashes.end(), [&own](const auto &received) {
+            return received.id == own.id && received.isAcquitted == own.isAcquitted;
         });
     });
 }
@@ -219,11 +220,11 @@
     if (now - m_lastTick > m_settings.standstill)
         m_catchUpUntil = now + m_settings.catchUpTime;
     m_lastTick = now;
-    forget(now);
+    removeExpired(now);
     std::erase_if(m_recentAnswers,
                   [&](const auto &it) { return now - it.second >= m_settings.answerMemory; });
-    if (m_answersDue && now >= *m_answersDue)
-        sendAnswers(now);
+    if (m_clearancesDue && now >= *m_clearancesDue)
+        sendClearances(now);
     if (now >= m_nextDigest)
         sendDigest(now);
 }
@@ -231,8 +232,8 @@
 auto QuarantineState::nextDue() const -> std::optional<TimePoint>
 {
     if (m_lastTick >= m_catchUpUntil)
-        return m_answersDue;
-    return std::min(m_answersDue.value_or(m_nextDigest), m_nextDigest);
+        return m_clearancesDue;
+    return std::min(m_clearancesDue.value_or(m_nextDigest), m_nextDigest);
 }
 
 auto QuarantineState::sendDigest(TimePoint now) -> void
@@ -245,39 +246,40 @@
     send({m_peers[randomBelow(m_random, m_peers.size())]}, Digest{own, false});
 }
 
-auto QuarantineState::sendAnswers(TimePoint now) -> void
+auto QuarantineState::sendClearances(TimePoint now) -> void
 {
-    auto answers = Records{!areAllPeersSome(), {}};
-    for (const auto &it : std::exchange(m_answered, {})) {
+    auto answers = Records{!picksAllPeers(), {}};
+    for (const auto &it : std::exchange(m_unsentClearances, {})) {
         const auto record = m_records.find(it);
         if (record != m_records.end())
             answers.items.push_back(itemOf(it, record->second, now));
     }
-    m_answersDue.reset();
-    sendRecords(somePeers(), answers, answers.items.size());
+    m_clearancesDue.reset();
+    sendRecords(pickPeers(), answers, answers.items.size());
 }
 
-/// The gravest first: there may be more than a few datagrams hold.
-auto QuarantineState::sendBinding(const NodeId &to, TimePoint now) -> void
+/// Sends the suspected and refused requests, those with the most crashes first, because the datagrams may not hold all.
+auto QuarantineState::sendRestricted(const NodeId &to, TimePoint now) -> void
 {
-    auto binding = std::vector<std::pair<std::uint32_t, Records::Item>>();
+    auto restricted = std::vector<std::pair<std::uint32_t, Records::Item>>();
     for (const auto &[request, record] : m_records) {
-        if (isBinding(record))
-            binding.emplace_back(record.count(), itemOf(request, record, now));
+        if (isRestricted(record))
+            restricted.emplace_back(record.count(), itemOf(request, record, now));
     }
-    std::sort(binding.begin(), binding.end(), [](const auto &a, const auto &b) {
+    std::sort(restricted.begin(), restricted.end(), [](const auto &a, const auto &b) {
         return std::tie(b.first, a.second.request) < std::tie(a.first, b.second.request);
     });
     auto records = Records();
-    for (auto &it : binding)
+    for (auto &it : restricted)
         records.items.push_back(std::move(it.second));
     sendRecords({to}, records, m_settings.recordDatagrams);
 }
 
-auto QuarantineState::sendNews(CrashId crash, std::vector<RequestFingerprint> requests) -> void
+auto QuarantineState::sendCrashReport(CrashId crash, std::vector<RequestFingerprint> requests)
+        -> void
 {
-    const auto peers = somePeers();
-    const auto news = CrashNews{crash, !areAllPeersSome(), std::move(requests)};
+    const auto peers = pickPeers();
+    const auto news = CrashNews{crash, !picksAllPeers(), std::move(requests)};
     for (const auto &it : splitNews(news, m_settings.mostPayloadBytes))
         send(peers, it);
 }
@@ -300,9 +302,9 @@
         m_datagrams.push_back({it, payload});
 }
 
-auto QuarantineState::somePeers() -> std::vector<NodeId>
+auto QuarantineState::pickPeers() -> std::vector<NodeId>
 {
-    if (areAllPeersSome())
+    if (picksAllPeers())
         return m_peers;
     auto some = std::vector<NodeId>();
     std::sample(m_peers.begin(), m_peers.end(), std::back_inserter(some), m_settings.fanOut,
@@ -314,7 +316,7 @@
 {
     auto all = std::uint64_t{0};
     for (const auto &[request, record] : m_records) {
-        if (isBinding(record))
+        if (isRestricted(record))
             all ^= record.hash(request);
     }
     return all;
@@ -326,29 +328,30 @@
     return {request, record.crashes(), std::max(Duration::zero(), now - record.lastCrash())};
 }
 
-auto QuarantineState::forget(TimePoint now) -> void
+auto QuarantineState::removeExpired(TimePoint now) -> void
 {
     std::erase_if(m_records, [&](const auto &it) {
         const auto &record = it.second;
-        const auto isVerdict = record.count() >= m_settings.crashesToRefuse;
-        // Beyond its hold, for whoever tries it then: a crash that is forgotten would have to be seen again.
-        const auto kept =
-                isVerdict ? 2 * m_settings.holdAfter(record.count()) : m_settings.suspicionTime;
-        return now - record.lastCrash() >= kept;
+        const auto isRefused = record.count() >= m_settings.crashesToRefuse;
+        // A refused request is recorded beyond the time of its refusal, because it may run again then. If its crashes were
+        // removed by that time, more servers would have to crash before it is refused again.
+        const auto lifetime =
+                isRefused ? 2 * m_settings.holdAfter(record.count()) : m_settings.suspicionTime;
+        return now - record.lastCrash() >= lifetime;
     });
 }
 
-/// Lets go what has the fewest crashes, and of these the oldest.
-auto QuarantineState::makeRoom() -> void
+/// Removes surplus records: those with the fewest crashes and, among these, those with the oldest crash.
+auto QuarantineState::removeSurplus() -> void
 {
     if (m_records.size() <= m_settings.mostRecords)
         return;
     auto ranks = std::vector<std::tuple<std::uint32_t, TimePoint, RequestFingerprint>>();
     for (const auto &[request, record] : m_records)
         ranks.emplace_back(record.count(), record.lastCrash(), request);
-    const auto surplus = static_cast<std::ptrdiff_t>(m_records.size() - m_settings.mostRecords);
-    std::nth_element(ranks.begin(), ranks.begin() + surplus, ranks.end());
-    for (auto it = ranks.begin(); it != ranks.begin() + surplus; ++it)
+    const auto excess = static_cast<std::ptrdiff_t>(m_records.size() - m_settings.mostRecords);
+    std::nth_element(ranks.begin(), ranks.begin() + excess, ranks.end());
+    for (auto it = ranks.begin(); it != ranks.begin() + excess; ++it)
         m_records.erase(std::get<RequestFingerprint>(*it));
 }
 
@@ -376,16 +379,16 @@
     const auto message = readMessage(saved);
     if (const auto *records = std::get_if<Records>(&message)) {
         for (const auto &it : records->items)
-            takeItem(it, now);
+            mergeItem(it, now);
     }
-    makeRoom();
+    removeSurplus();
 }
 
 auto QuarantineState::entries(TimePoint now) const -> std::vector<QuarantineEntry>
 {
     auto found = std::vector<QuarantineEntry>();
     for (const auto &[request, record] : m_records) {
-        if (isBinding(record))
+        if (isRestricted(record))
             found.push_back({request, record.count(), judge(request, now)});
     }
     std::sort(found.begin(), found.end(),
--- a/source/quarantine/RequestFingerprint.cpp
+++ b/source/quarantine/RequestFingerprint.cpp
@@ -7,15 +7,15 @@
 
 namespace stairspur::quarantine {
 
-static constexpr auto DigitsOfName = std::size_t{12};
-static constexpr auto DigitsOfHalf = std::size_t{16};
+static constexpr auto NameDigits = std::size_t{12};
+static constexpr auto HalfDigits = std::size_t{16};
 
 auto RequestFingerprint::name() const -> std::string
 {
-    return toHex(high).substr(0, DigitsOfName);
+    return toHex(high).substr(0, NameDigits);
 }
 
-/// Each part with its length before it, so that no two requests give the same text.
+/// Appends a part with its length before it, so that no two requests result in the same text.
 static auto addPart(std::string &text, std::string_view part) -> void
 {
     text += std::to_string(part.size());
@@ -39,8 +39,7 @@
         addPart(text, it);
     const auto digits = sha256Hex(text);
     const auto both = std::string_view(digits);
-    return {readHalf(both.substr(0, DigitsOfHalf)),
-            readHalf(both.substr(DigitsOfHalf, DigitsOfHalf))};
+    return {readHalf(both.substr(0, HalfDigits)), readHalf(both.substr(HalfDigits, HalfDigits))};
 }
 
 } // namespace stairspur::quarantine
