--- a/tests/fuzz/quarantine/main.cpp
+++ b/tests/fuzz/quarantine/main.cpp
@@ -1,4 +1,4 @@
-// Datagrams about requests under which backend servers end, after the check of their HMAC.
+// Fuzzes the reader of quarantine datagrams, whose HMAC has already been checked.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
@@ -25,7 +25,7 @@
     try {
         state.receive("b", {reinterpret_cast<const char *>(data), size}, start);
     } catch (const InputError &) {
-        return 0; // The one error that the keeper expects.
+        return 0; // The only exception that QuarantineKeeper handles.
     }
     state.tick(start + std::chrono::seconds(1));
     return 0;
--- a/tests/measure/quarantine/main.cpp
+++ b/tests/measure/quarantine/main.cpp
@@ -1,4 +1,4 @@
-// What the quarantine of poison requests costs: bytes between nodes by fleet size, and processor time by call.
+// Measures the costs of the quarantine of poison requests: bytes between nodes by fleet size, and processor time per call.
 #include <chrono>
 #include <cstdio>
 
@@ -7,18 +7,19 @@
 using namespace stairspur;
 using namespace stairspur::quarantine;
 
-/// Suspects of one crash: calls that run at one backend server at 93 calls a second and 0.1 s each are nine; users saw 20 to 60.
+/// Requests that run at one backend server when it crashes. At 93 calls a second of 0.1 s each there are nine; users saw 20 to
+/// 60.
 static constexpr auto Suspects = std::uint64_t{60};
 
-/// One crash, from which nobody is acquitted.
+/// Measures the messages after one crash of which no request is cleared.
 static auto measureCrash(std::size_t hosts) -> void
 {
     auto fleet = VirtualFleet(hosts, 1);
     fleet.loss = 0;
     fleet.runFor(std::chrono::seconds(30));
-    const auto quietBefore = fleet.bytes;
+    const auto idleBefore = fleet.bytes;
     fleet.runFor(std::chrono::seconds(60));
-    const auto quiet = fleet.bytes - quietBefore;
+    const auto idle = fleet.bytes - idleBefore;
     for (auto n = std::uint64_t{0}; n < Suspects; ++n)
         fleet.offerTo(0, requestOf(n));
     const auto before = fleet.bytes;
@@ -26,33 +27,33 @@
     fleet.runFor(std::chrono::seconds(5));
     const auto nodes = static_cast<double>(hosts);
     std::printf(
-            "%5zu hosts: quiet %.1f B/s a node; one crash with %llu suspects, all of them answered "
+            "%5zu hosts: idle %.1f B/s a node; one crash with %llu suspects, all of them answered "
             "later: %.0f B sent a node\n",
-            hosts, static_cast<double>(quiet) / 60 / nodes,
+            hosts, static_cast<double>(idle) / 60 / nodes,
             static_cast<unsigned long long>(Suspects),
             static_cast<double>(fleet.bytes - before) / nodes);
 }
 
-/// A request that is refused, for as long as it is remembered.
+/// Measures how long it takes until all nodes refuse a request, and the messages while it is recorded.
 static auto measureVerdict(std::size_t hosts) -> void
 {
     auto fleet = VirtualFleet(hosts, 1);
     fleet.loss = 0;
     fleet.runFor(std::chrono::seconds(30));
-    const auto guilty = requestOf(1);
+    const auto poison = requestOf(1);
     for (auto n = 0; n < 3; ++n)
-        fleet.state(0).didCrash({guilty}, fleet.now());
-    auto known = Duration::zero();
-    // What the state has made leaves with its next tick.
-    while (fleet.refusing(guilty) < hosts && known < std::chrono::seconds(30)) {
+        fleet.state(0).didCrash({poison}, fleet.now());
+    auto elapsed = Duration::zero();
+    // The state's datagrams are sent at its next tick.
+    while (fleet.refusing(poison) < hosts && elapsed < std::chrono::seconds(30)) {
         fleet.runFor(std::chrono::milliseconds(1));
-        known += std::chrono::milliseconds(1);
+        elapsed += std::chrono::milliseconds(1);
     }
     const auto before = fleet.bytes;
     fleet.runFor(std::chrono::seconds(60));
     std::printf(
-            "%5zu hosts: a verdict is known to all after %lld ms at most; then %.1f B/s a node\n",
-            hosts, toMilliseconds(known),
+            "%5zu hosts: all nodes refuse a request after %lld ms at most; then %.1f B/s a node\n",
+            hosts, toMilliseconds(elapsed),
             static_cast<double>(fleet.bytes - before) / 60 / static_cast<double>(hosts));
 }
 
@@ -90,7 +91,7 @@
             std::puts("zero");
     });
     const auto now = monotonicNow();
-    measureTime("judgement and answer of a request nobody suspects", [&](int n) {
+    measureTime("decision on a request without crashes, and its answer", [&](int n) {
         const auto request = RequestFingerprint{1, static_cast<std::uint64_t>(n)};
         if (state.judge(request, now).standing == Standing::Clear)
             state.didAnswer(request, now);
--- a/tests/quarantine/TestCrashDetector.cpp
+++ b/tests/quarantine/TestCrashDetector.cpp
@@ -16,7 +16,7 @@
     return requests;
 }
 
-Test(CrashDetector, aCrashIsOfAllThatRanOrHadBroken)
+Test(CrashDetector, crashReturnsRunningAndBrokenCalls)
 {
     auto detector = CrashDetector();
     for (auto n = CallId{1}; n <= 4; ++n)
@@ -25,11 +25,11 @@
     detector.didEndOtherwise(2);
     cr_assert(detector.didBreak(3));
     cr_assert_eq(detector.takeCrash(), sorted({requestOf(3), requestOf(4)}));
-    cr_assert(!detector.didBreak(4), "its crash was taken");
+    cr_assert(!detector.didBreak(4), "the call was already reported as part of the crash");
     cr_assert(detector.takeCrash().empty());
 }
 
-Test(CrashDetector, whatBrokeBeforeAnAnswerDidNotEndTheServer)
+Test(CrashDetector, answerClearsCallsThatBrokeBeforeItWasSent)
 {
     auto detector = CrashDetector();
     detector.didSend(1, requestOf(1));
@@ -39,17 +39,18 @@
     cr_assert(detector.didReplace(false).empty());
 }
 
-Test(CrashDetector, anAnswerThatWasUnderWaySaysNothingOfALaterBreak)
+Test(CrashDetector, answerOfACallSentBeforeABreakDoesNotClearIt)
 {
     auto detector = CrashDetector();
     detector.didSend(1, requestOf(1));
     detector.didSend(2, requestOf(2));
     detector.didBreak(1);
     detector.didAnswer(2);
-    cr_assert_eq(detector.didReplace(false), Requests{requestOf(1)}, "a quick restart explains it");
+    cr_assert_eq(detector.didReplace(false), Requests{requestOf(1)},
+                 "a quick restart of the server explains the broken connection");
 }
 
-Test(CrashDetector, aServerThatSaidThatItLeavesEndedUnderNobody)
+Test(CrashDetector, expectedReplacementReturnsNoRequests)
 {
     auto detector = CrashDetector();
     detector.didSend(1, requestOf(1));
--- a/tests/quarantine/TestQuarantineFleet.cpp
+++ b/tests/quarantine/TestQuarantineFleet.cpp
@@ -6,19 +6,19 @@
 using namespace stairspur;
 using namespace stairspur::quarantine;
 
-static constexpr auto Deadly = std::uint64_t{1'000'000};
+static constexpr auto Poison = std::uint64_t{1'000'000};
 
-/// Lets a deadly request come every 70 ms, as one that clients and their entries send on, among others that come once.
-static auto playFor(VirtualFleet &fleet, Duration time, const std::vector<std::uint64_t> &deadly,
-                    std::uint64_t &others) -> void
+/// Sends each poison request every 70 ms, as clients and their entries retry it, among other requests that are sent once.
+static auto runTraffic(VirtualFleet &fleet, Duration time, const std::vector<std::uint64_t> &poison,
+                       std::uint64_t &others) -> void
 {
     static constexpr auto Between = Duration{10'000};
-    static constexpr auto DeadlyEvery = 7;
+    static constexpr auto PoisonEvery = 7;
     for (auto n = 0; Between * n < time; ++n) {
         for (auto k = std::size_t{0}; k < std::max<std::size_t>(1, fleet.size() / 20); ++k)
             fleet.offer(requestOf(others++));
-        if (n % DeadlyEvery == 0) {
-            for (const auto it : deadly)
+        if (n % PoisonEvery == 0) {
+            for (const auto it : poison)
                 fleet.offer(requestOf(it));
         }
         fleet.runFor(Between);
@@ -33,22 +33,22 @@
     return n;
 }
 
-/// Without a word between the gates each of them would lose a backend server by itself: 15, 200, 2,000 sends.
+/// If the gates sent each other no messages, each of them would lose a backend server: 15, 200, 2,000 sends.
 Test(QuarantineFleet, sendsAfterTheThirdCrashDoNotGrowWithTheFleet)
 {
     for (const auto hosts : {15, 200, 2000}) {
         for (auto seed = std::uint64_t{1}; seed <= 5; ++seed) {
             auto fleet = VirtualFleet(hosts, seed);
-            fleet.deadly = {requestOf(Deadly)};
+            fleet.poison = {requestOf(Poison)};
             auto others = std::uint64_t{0};
-            playFor(fleet, std::chrono::seconds(8), {Deadly}, others);
-            const auto after = fleet.sendsAfterThirdCrash(requestOf(Deadly));
+            runTraffic(fleet, std::chrono::seconds(8), {Poison}, others);
+            const auto after = fleet.sendsAfterThirdCrash(requestOf(Poison));
             cr_expect_leq(after, 3, "%d hosts, seed %zu: %zu sends after the third crash", hosts,
                           seed, after);
-            // Three, three that are sent later, and two that run already when the third one ends.
-            const auto crashes = fleet.crashTimes[requestOf(Deadly)].size();
+            // Three crashes, three by later sends, and two by sends that are running at the third crash.
+            const auto crashes = fleet.crashTimes[requestOf(Poison)].size();
             cr_expect_leq(crashes, 3 + 3 + 2, "%d hosts, seed %zu: %zu", hosts, seed, crashes);
-            cr_expect_eq(fleet.refusing(requestOf(Deadly)), hosts);
+            cr_expect_eq(fleet.refusing(requestOf(Poison)), hosts);
             fleet.runFor(std::chrono::seconds(3));
             cr_expect_eq(unanswered(fleet, others), 0, "%d hosts, seed %zu: %zu others lost", hosts,
                          seed, unanswered(fleet, others));
@@ -56,15 +56,15 @@
     }
 }
 
-Test(QuarantineFleet, twoDeadlyRequestsAtOnceAreToldApart)
+Test(QuarantineFleet, twoPoisonRequestsAreRefusedWithoutOthers)
 {
     for (auto seed = std::uint64_t{1}; seed <= 20; ++seed) {
         auto fleet = VirtualFleet(30, seed);
-        fleet.deadly = {requestOf(Deadly), requestOf(Deadly + 1)};
+        fleet.poison = {requestOf(Poison), requestOf(Poison + 1)};
         auto others = std::uint64_t{0};
-        playFor(fleet, std::chrono::seconds(8), {Deadly, Deadly + 1}, others);
+        runTraffic(fleet, std::chrono::seconds(8), {Poison, Poison + 1}, others);
         fleet.runFor(std::chrono::seconds(3));
-        for (const auto it : {Deadly, Deadly + 1}) {
+        for (const auto it : {Poison, Poison + 1}) {
             cr_expect_leq(fleet.sendsAfterThirdCrash(requestOf(it)), 3, "seed %zu", seed);
             cr_expect_eq(fleet.refusing(requestOf(it)), 30, "seed %zu", seed);
         }
@@ -72,28 +72,29 @@
     }
 }
 
-/// A node that starts, and one that was cut off, refuse the request before it has ended their backend servers.
-Test(QuarantineFleet, whoWasAwayLearnsOfVerdictsInTime)
+/// A node that starts, and one that was behind a network partition, refuse the request before it crashes their servers.
+Test(QuarantineFleet, startedAndPartitionedNodesReceiveRefusalsInTime)
 {
-    static constexpr auto InTouchAfter = std::chrono::seconds(3);
+    static constexpr auto CatchUpWithin = std::chrono::seconds(3);
     for (auto seed = std::uint64_t{1}; seed <= 10; ++seed) {
         auto fleet = VirtualFleet(15, seed);
-        fleet.deadly = {requestOf(Deadly)};
+        fleet.poison = {requestOf(Poison)};
         auto others = std::uint64_t{0};
-        fleet.cutAt(5);
-        playFor(fleet, std::chrono::seconds(5), {Deadly}, others);
-        cr_expect_eq(fleet.refusing(requestOf(Deadly)), 15, "each side finds out by itself");
-        fleet.heal();
+        fleet.partitionAt(5);
+        runTraffic(fleet, std::chrono::seconds(5), {Poison}, others);
+        cr_expect_eq(fleet.refusing(requestOf(Poison)), 15,
+                     "each side of the partition identifies the request by itself");
+        fleet.endPartition();
         for (auto host = std::size_t{0}; host < 14; ++host)
             fleet.startNode(host);
-        fleet.runFor(InTouchAfter);
-        cr_expect_eq(fleet.refusing(requestOf(Deadly)), 15, "seed %zu: %zu of 15 refuse it", seed,
-                     fleet.refusing(requestOf(Deadly)));
+        fleet.runFor(CatchUpWithin);
+        cr_expect_eq(fleet.refusing(requestOf(Poison)), 15, "seed %zu: %zu of 15 refuse it", seed,
+                     fleet.refusing(requestOf(Poison)));
     }
 }
 
-/// Eight times 0.4 of the backend servers end for other reasons, while requests come that come again.
-Test(QuarantineFleet, crashesInSeriesBlameNobody)
+/// Eight times, 0.4 of the backend servers crash for other reasons while requests run, some of which are sent repeatedly.
+Test(QuarantineFleet, unrelatedCrashesRefuseNoRequest)
 {
     static constexpr auto Popular = std::uint64_t{200};
     for (auto seed = std::uint64_t{1}; seed <= 20; ++seed) {
@@ -117,62 +118,63 @@
     }
 }
 
-/// After its hold one node tries a refused request; the answer frees it everywhere.
-Test(QuarantineFleet, aMendedServiceIsTriedByOneNodeAndServesAgain)
+/// After the refusal time, one node runs a refused request again; a complete response clears it on all nodes.
+Test(QuarantineFleet, oneNodeRunsARefusedRequestAgainAndClearsItOnceFixed)
 {
     auto fleet = VirtualFleet(15, 7);
-    fleet.deadly = {requestOf(Deadly)};
+    fleet.poison = {requestOf(Poison)};
     auto others = std::uint64_t{0};
-    playFor(fleet, std::chrono::seconds(5), {Deadly}, others);
+    runTraffic(fleet, std::chrono::seconds(5), {Poison}, others);
     const auto waitForHold = [&fleet] {
-        const auto judgement = fleet.state(0).judge(requestOf(Deadly), fleet.now());
+        const auto judgement = fleet.state(0).judge(requestOf(Poison), fleet.now());
         fleet.runFor(judgement.retryAfter + std::chrono::seconds(1));
     };
     waitForHold();
-    cr_assert_eq(fleet.refusing(requestOf(Deadly)), 14, "all but one go on refusing it");
-    const auto before = fleet.sends[requestOf(Deadly)];
+    cr_assert_eq(fleet.refusing(requestOf(Poison)), 14, "all nodes but one still refuse it");
+    const auto before = fleet.sends[requestOf(Poison)];
     for (auto host = std::size_t{0}; host < fleet.size(); ++host)
-        fleet.offerTo(host, requestOf(Deadly));
+        fleet.offerTo(host, requestOf(Poison));
     fleet.runFor(std::chrono::seconds(1));
-    cr_assert_eq(fleet.sends[requestOf(Deadly)], before + 1, "one trial in the whole service");
-    cr_assert_eq(fleet.refusing(requestOf(Deadly)), 15, "it still ends backend servers");
+    cr_assert_eq(fleet.sends[requestOf(Poison)], before + 1, "it runs once in the whole service");
+    cr_assert_eq(fleet.refusing(requestOf(Poison)), 15, "it still crashes backend servers");
 
-    fleet.deadly.clear();
+    fleet.poison.clear();
     waitForHold();
     for (auto host = std::size_t{0}; host < fleet.size(); ++host)
-        fleet.offerTo(host, requestOf(Deadly));
+        fleet.offerTo(host, requestOf(Poison));
     fleet.runFor(std::chrono::seconds(2));
-    cr_assert_eq(fleet.refusing(requestOf(Deadly)), 0, "one answer frees it");
+    cr_assert_eq(fleet.refusing(requestOf(Poison)), 0, "one complete response clears it");
 }
 
-Test(QuarantineFleet, anOperatorLetsARequestRunAgain)
+Test(QuarantineFleet, releasedRequestRunsAgainOnAllNodes)
 {
     auto fleet = VirtualFleet(15, 7);
-    fleet.deadly = {requestOf(Deadly)};
+    fleet.poison = {requestOf(Poison)};
     auto others = std::uint64_t{0};
-    playFor(fleet, std::chrono::seconds(5), {Deadly}, others);
-    fleet.deadly.clear();
-    cr_assert_eq(fleet.state(3).release(requestOf(Deadly).name(), fleet.now()), 1);
-    cr_assert_eq(fleet.state(3).release(requestOf(Deadly).name(), fleet.now()), 0);
-    // Digests carry it to all, even if every datagram of now is lost.
+    runTraffic(fleet, std::chrono::seconds(5), {Poison}, others);
+    fleet.poison.clear();
+    cr_assert_eq(fleet.state(3).release(requestOf(Poison).name(), fleet.now()), 1);
+    cr_assert_eq(fleet.state(3).release(requestOf(Poison).name(), fleet.now()), 0);
+    // Digests bring the release to all nodes even if all datagrams that were sent at once are lost.
     fleet.runFor(std::chrono::seconds(10));
-    cr_assert_eq(fleet.refusing(requestOf(Deadly)), 0);
+    cr_assert_eq(fleet.refusing(requestOf(Poison)), 0);
 }
 
-/// All nodes start at once: what the store kept spares the three backend servers that finding it out anew would cost.
-Test(QuarantineFleet, whatWasSavedHoldsAfterAllNodesStartAnew)
+/// All nodes restart at once. Without the saved record, three more backend servers would crash before the request is refused.
+Test(QuarantineFleet, savedRecordIsRestoredAfterAllNodesRestart)
 {
     auto fleet = VirtualFleet(15, 7);
-    fleet.deadly = {requestOf(Deadly)};
+    fleet.poison = {requestOf(Poison)};
     auto others = std::uint64_t{0};
-    playFor(fleet, std::chrono::seconds(5), {Deadly}, others);
-    const auto saved = fleet.state(0).save(requestOf(Deadly), fleet.now());
+    runTraffic(fleet, std::chrono::seconds(5), {Poison}, others);
+    const auto saved = fleet.state(0).save(requestOf(Poison), fleet.now());
     for (auto host = std::size_t{0}; host < fleet.size(); ++host)
         fleet.startNode(host);
-    cr_assert_eq(fleet.refusing(requestOf(Deadly)), 0);
+    cr_assert_eq(fleet.refusing(requestOf(Poison)), 0);
     fleet.state(4).restore(saved, fleet.now());
     fleet.runFor(std::chrono::seconds(3));
-    cr_assert_eq(fleet.refusing(requestOf(Deadly)), 15, "one that could read it tells the others");
+    cr_assert_eq(fleet.refusing(requestOf(Poison)), 15,
+                 "the one node that read it sends it to the others");
 }
 
 static auto stateOf(const NodeId &node, TimePoint now) -> QuarantineState
@@ -184,8 +186,8 @@
     return state;
 }
 
-/// A host that was suspended may have missed everything: by its own clock, which counts that time, it asks its peers anew.
-Test(QuarantineState, whoStoodStillAsksItsPeers)
+/// A host that was suspended may have missed all datagrams. Its clock counts that time, so it sends digests to peers again.
+Test(QuarantineState, suspendedNodeSendsDigests)
 {
     auto now = TimePoint{Duration{1'000'000'000}};
     auto state = stateOf("a", now);
@@ -194,19 +196,19 @@
         state.tick(now += second);
     state.takeDatagrams();
     state.tick(now += second);
-    cr_assert(state.takeDatagrams().empty(), "nothing to ask any more");
+    cr_assert(state.takeDatagrams().empty(), "the time of catching up is over");
     state.tick(now += 30 * second);
     cr_assert(!state.takeDatagrams().empty());
 }
 
-/// Thousands of different suspects push out what has fewer crashes first.
-Test(QuarantineState, whatIsRememberedIsBounded)
+/// When thousands of requests are recorded, those with the fewest crashes are removed first.
+Test(QuarantineState, recordsAreBounded)
 {
     auto now = TimePoint{Duration{1'000'000'000}};
     auto state = stateOf("a", now);
-    const auto guilty = requestOf(Deadly);
+    const auto poison = requestOf(Poison);
     for (auto n = 0; n < 3; ++n)
-        state.didCrash({guilty}, now);
+        state.didCrash({poison}, now);
     auto request = std::uint64_t{0};
     for (auto crash = 0; crash < 200; ++crash) {
         auto ran = std::vector<RequestFingerprint>();
@@ -215,14 +217,14 @@
         state.didCrash(ran, now += std::chrono::milliseconds(10));
     }
     cr_assert_eq(state.size(), QuarantineSettings().mostRecords);
-    cr_assert(state.judge(guilty, now).standing == Standing::Refused);
+    cr_assert(state.judge(poison, now).standing == Standing::Refused);
     now += std::chrono::hours(3);
     state.tick(now);
-    cr_assert_eq(state.size(), 0, "all is forgotten in the end");
+    cr_assert_eq(state.size(), 0, "all records expire");
 }
 
-/// A request that ends servers and is never answered stays refused however often it is tried.
-Test(QuarantineState, holdsGrowWithEachTrialThatFails)
+/// A request that crashes servers and is never answered is refused again each time that it has run.
+Test(QuarantineState, refusalTimeDoublesWithEachCrash)
 {
     auto now = TimePoint{Duration{1'000'000'000}};
     auto state = stateOf("a", now);
@@ -243,8 +245,8 @@
     }
 }
 
-/// The word of a crash may come after the next run of what ran there.
-Test(QuarantineState, anAnswerSpeaksAgainstACrashThatIsHeardOfLater)
+/// The report of a crash may arrive after the next run of the requests that ran there.
+Test(QuarantineState, answerClearsACrashThatIsReportedLater)
 {
     auto now = TimePoint{Duration{1'000'000'000}};
     auto first = stateOf("a", now);
@@ -257,7 +259,7 @@
         second.receive("a", it.payload, now);
     cr_assert(second.judge(requestOf(1), now).standing == Standing::Clear);
     cr_assert(second.judge(requestOf(2), now).standing == Standing::Refused);
-    // Its own backend server's end is no proof against what that has just answered either.
+    // A crash of its own backend server is not recorded either for a request that the server has just answered.
     second.didCrash({requestOf(1)}, now);
     second.didCrash({requestOf(1)}, now);
     cr_assert(second.judge(requestOf(1), now).standing == Standing::Clear);
--- a/tests/quarantine/TestQuarantineMessages.cpp
+++ b/tests/quarantine/TestQuarantineMessages.cpp
@@ -9,7 +9,7 @@
 using namespace stairspur;
 using namespace stairspur::quarantine;
 
-Test(QuarantineMessages, whatIsWrittenIsRead)
+Test(QuarantineMessages, writtenMessagesAreReadBack)
 {
     const auto news = CrashNews{~std::uint64_t{0}, true, {requestOf(1), requestOf(2)}};
     const auto readNews = std::get<CrashNews>(readMessage(writeMessage(news)));
@@ -28,13 +28,13 @@
     cr_assert_eq(read.items[0].age.count(), 5);
 }
 
-/// Numbers that take the most bytes.
+/// Returns a fingerprint whose numbers have the longest encoding.
 static auto longest(std::uint64_t n) -> RequestFingerprint
 {
     return {~n, ~n};
 }
 
-Test(QuarantineMessages, longOnesAreSplitWithinTheirBound)
+Test(QuarantineMessages, longMessagesAreSplitWithinTheLimit)
 {
     static constexpr auto MostBytes = std::size_t{1'200};
     auto news = CrashNews{~std::uint64_t{0}, true, {}};
@@ -65,7 +65,7 @@
     cr_expect(splitRecords({}, MostBytes).empty());
 }
 
-Test(QuarantineMessages, whatIsNoMessageIsRefused)
+Test(QuarantineMessages, malformedMessagesAreRejected)
 {
     const auto digest = writeMessage(Digest{7, true});
     for (auto n = std::size_t{0}; n < digest.size(); ++n)
@@ -77,7 +77,7 @@
     cr_expect_throw(readMessage("\xa0"), InputError, "map");
 }
 
-Test(RequestFingerprint, tellsRequestsApartByAllThatTheirCallersSay)
+Test(RequestFingerprint, differsForEachPartOfARequest)
 {
     const auto same = RequestIdentity{.service = "menu",
                                       .caller = "c",
@@ -98,6 +98,6 @@
     auto shifted = same;
     shifted.method = "GETh";
     shifted.host = "";
-    cr_expect_neq(fingerprintOf(shifted), fingerprintOf(same), "parts do not run together");
+    cr_expect_neq(fingerprintOf(shifted), fingerprintOf(same), "adjacent parts are kept apart");
     cr_expect_eq(fingerprintOf(same).name().size(), 12);
 }
--- a/tests/quarantine/VirtualFleet.h
+++ b/tests/quarantine/VirtualFleet.h
@@ -13,8 +13,8 @@
 
 namespace stairspur::quarantine {
 
-/// The gates of one service on a virtual clock: requests run at one backend server each, some end it, and what the gates tell
-/// each other takes its time, gets lost, or meets a cut.
+/// Simulates the gates of one service on a virtual clock. Each request runs at one backend server and some requests crash it;
+/// datagrams between the gates are delayed, lost, or dropped at a network partition.
 class VirtualFleet
 {
 public:
@@ -31,7 +31,7 @@
             startNode(n);
     }
 
-    /// The node of a host starts: it knows nothing of before.
+    /// Starts, or restarts, the node of a host, without records.
     auto startNode(std::size_t host) -> void
     {
         auto settings = QuarantineSettings();
@@ -49,11 +49,12 @@
                                            randomBelow(m_random, TickTime.count()))});
     }
 
-    /// Hosts below `border` and the others hear nothing of each other.
-    auto cutAt(std::size_t border) -> void { m_border = border; }
-    auto heal() -> void { m_border = 0; }
+    /// Drops all datagrams between hosts below `border` and the others.
+    auto partitionAt(std::size_t border) -> void { m_partitionBorder = border; }
+    /// Delivers datagrams between all hosts again.
+    auto endPartition() -> void { m_partitionBorder = 0; }
 
-    /// Sends `request` to a random host whose backend server is up; whether it was sent there.
+    /// Sends `request` to a random host whose backend server is up. Returns whether the gate let it run.
     auto offer(const RequestFingerprint &request) -> bool
     {
         auto up = std::vector<std::size_t>();
@@ -66,6 +67,7 @@
         return offerTo(up[randomBelow(m_random, up.size())], request);
     }
 
+    /// Sends `request` to the gate of a host. Returns whether the gate let it run.
     auto offerTo(std::size_t host, const RequestFingerprint &request) -> bool
     {
         auto &it = m_hosts[host];
@@ -78,11 +80,13 @@
         it.running.insert(request);
         if (standing == Standing::OnTrial)
             it.onTrial.insert(request);
-        after(RunTime, [this, host, request, life = it.life] { end(host, request, life); });
+        after(RunTime, [this, host, request, incarnation = it.incarnation] {
+            finish(host, request, incarnation);
+        });
         return true;
     }
 
-    /// The backend server ends under all that run there.
+    /// Crashes the backend server of a host while its running requests run.
     auto crash(std::size_t host) -> void
     {
         auto &it = m_hosts[host];
@@ -90,17 +94,18 @@
         it.running.clear();
         it.onTrial.clear();
         it.isUp = false;
-        ++it.life;
+        ++it.incarnation;
         for (const auto &request : ran)
             crashTimes[request].push_back(m_now);
         it.state->didCrash(ran, m_now);
         flush(host);
         after(RestartTime, [this, host] { m_hosts[host].isUp = true; });
-        // Clients, or their entries, send on what was lost.
+        // Clients, or their entries, retry the requests that were lost.
         for (const auto &request : ran)
             after(Duration{6'000}, [this, request] { offer(request); });
     }
 
+    /// Advances the virtual clock and runs the events that become due.
     auto runFor(Duration time) -> void
     {
         const auto until = m_now + time;
@@ -114,6 +119,7 @@
         m_now = until;
     }
 
+    /// Schedules an action.
     auto after(Duration time, std::function<void()> action) -> void
     {
         m_events.emplace(m_now + time, std::move(action));
@@ -124,7 +130,7 @@
     auto state(std::size_t host) -> QuarantineState & { return *m_hosts[host].state; }
     [[nodiscard]] auto size() const -> std::size_t { return m_hosts.size(); }
 
-    /// Hosts that refuse the request.
+    /// Returns the number of hosts whose gate refuses the request.
     auto refusing(const RequestFingerprint &request) -> std::size_t
     {
         return static_cast<std::size_t>(
@@ -133,7 +139,7 @@
                 }));
     }
 
-    /// Sends after the third backend server had ended under the request.
+    /// Returns how often the request was sent after it had crashed the third backend server.
     auto sendsAfterThirdCrash(const RequestFingerprint &request) -> std::size_t
     {
         const auto &crashes = crashTimes[request];
@@ -144,13 +150,13 @@
                 times.begin(), times.end(), [&](const auto &it) { return it > crashes[2]; }));
     }
 
-    std::set<RequestFingerprint> deadly;
+    std::set<RequestFingerprint> poison; ///< Requests that crash every backend server.
     std::map<RequestFingerprint, std::size_t> sends;
     std::map<RequestFingerprint, std::size_t> answers;
     std::map<RequestFingerprint, std::vector<TimePoint>> sendTimes;
     std::map<RequestFingerprint, std::vector<TimePoint>> crashTimes;
-    double loss = 0.01; ///< Share of datagrams that never arrive.
-    std::uint64_t bytes = 0;
+    double loss = 0.01;      ///< Share of datagrams that are lost.
+    std::uint64_t bytes = 0; ///< Payload bytes of all datagrams that were sent.
 
 private:
     struct Host
@@ -159,9 +165,9 @@
         std::multiset<RequestFingerprint> running;
         std::set<RequestFingerprint> onTrial;
         bool isUp = true;
-        int life = 0;
+        int incarnation = 0;
         TimePoint nextTick;
-        int ticks = 0; ///< That were scheduled.
+        int ticks = 0; ///< Number of ticks that were scheduled.
     };
 
     static auto nameOf(std::size_t host) -> NodeId { return std::to_string(host); }
@@ -174,7 +180,7 @@
               [this, host, number = ++it.ticks] { tick(host, number); });
     }
 
-    /// Only the tick that was scheduled last is made.
+    /// Runs the tick if it is the one that was scheduled last.
     auto tick(std::size_t host, int number) -> void
     {
         if (m_hosts[host].ticks != number)
@@ -184,12 +190,12 @@
         flush(host);
     }
 
-    auto end(std::size_t host, const RequestFingerprint &request, int life) -> void
+    auto finish(std::size_t host, const RequestFingerprint &request, int incarnation) -> void
     {
         auto &it = m_hosts[host];
-        if (it.life != life)
+        if (it.incarnation != incarnation)
             return;
-        if (deadly.contains(request))
+        if (poison.contains(request))
             return crash(host);
         it.running.erase(it.running.find(request));
         it.onTrial.erase(request);
@@ -209,8 +215,8 @@
     auto deliver(std::size_t from, std::size_t to, std::string payload) -> void
     {
         bytes += payload.size();
-        const auto isCut = (from < m_border) != (to < m_border);
-        if (isCut || randomUnit(m_random) < loss)
+        const auto isPartitioned = (from < m_partitionBorder) != (to < m_partitionBorder);
+        if (isPartitioned || randomUnit(m_random) < loss)
             return;
         const auto delay =
                 Duration{1'000 + static_cast<Duration::rep>(randomBelow(m_random, 1'000))};
@@ -224,10 +230,10 @@
     TimePoint m_now{Duration{1'000'000'000}};
     std::vector<Host> m_hosts;
     std::multimap<TimePoint, std::function<void()>> m_events;
-    std::size_t m_border = 0;
+    std::size_t m_partitionBorder = 0;
 };
 
-/// The `n`th of many requests.
+/// Returns the `n`th of many different requests.
 inline auto requestOf(std::uint64_t n) -> RequestFingerprint
 {
     const auto target = "/" + std::to_string(n);
