--- a/include/stairspur/quarantine/QuarantineState.h
+++ b/include/stairspur/quarantine/QuarantineState.h
@@ -17,7 +17,7 @@
 namespace stairspur::quarantine {
 
 /// Whether a gate lets a request run.
-enum class Standing {
+enum class QuarantineStatus {
     Clear,   ///< The request runs without restriction.
     OnTrial, ///< Suspected: it runs while no other suspected request runs at the same backend server.
     Refused, ///< The request is not sent to a backend server.
@@ -26,18 +26,18 @@
 /// What a gate does with a request.
 struct Judgement
 {
-    Standing standing = Standing::Clear;
+    QuarantineStatus status = QuarantineStatus::Clear;
     Duration retryAfter{0}; ///< Time after which a refused request may run again; otherwise zero.
 };
 
-/// Change of a request's standing.
+/// Change of a request's status.
 enum class QuarantineChange {
     OnTrial,
     Refused,
     Acquitted,
 };
 
-/// Reports a change of a request's standing, for logs and for the store.
+/// Reports a change of a request's status, for logs and for the store.
 struct QuarantineEvent
 {
     QuarantineChange change = QuarantineChange::OnTrial;
@@ -163,7 +163,7 @@
 } // namespace stairspur::quarantine
 
 template <>
-inline constexpr auto stairspur::enumNames<stairspur::quarantine::Standing> =
+inline constexpr auto stairspur::enumNames<stairspur::quarantine::QuarantineStatus> =
         std::array<std::string_view, 3>{"clear", "on-trial", "refused"};
 
 template <>
--- a/source/node/StatusReport.cpp
+++ b/source/node/StatusReport.cpp
@@ -118,7 +118,7 @@
     const auto entries = board.quarantine.read();
     for (const auto &it : *entries)
         reports.push_back({{"request", it.request.name()},
-                           {"standing", nameOf(it.judgement.standing)},
+                           {"standing", nameOf(it.judgement.status)},
                            {"crashes", it.crashes},
                            {"retryAfterSeconds", toSeconds(it.judgement.retryAfter)}});
     return reports;
--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -114,14 +114,14 @@
         return {};
     const auto n = it->second.count();
     if (n < m_settings.crashesToRefuse)
-        return {Standing::OnTrial, Duration::zero()};
+        return {QuarantineStatus::OnTrial, Duration::zero()};
     const auto until = it->second.lastCrash() + m_settings.holdAfter(n);
     if (now < until)
-        return {Standing::Refused, until - now};
+        return {QuarantineStatus::Refused, until - now};
     // Only one node runs the request again: if all did, each could lose a backend server.
     if (isChosenToRetry(request))
-        return {Standing::OnTrial, Duration::zero()};
-    return {Standing::Refused, TrialRetryAfter};
+        return {QuarantineStatus::OnTrial, Duration::zero()};
+    return {QuarantineStatus::Refused, TrialRetryAfter};
 }
 
 auto QuarantineState::isRestricted(const CrashRecord &record) const -> bool
--- a/tests/quarantine/VirtualFleet.h
+++ b/tests/quarantine/VirtualFleet.h
@@ -71,14 +71,14 @@
     auto offerTo(std::size_t host, const RequestFingerprint &request) -> bool
     {
         auto &it = m_hosts[host];
-        const auto standing = it.state->judge(request, m_now).standing;
-        const auto hasTurn = standing != Standing::OnTrial || it.onTrial.empty();
-        if (!it.isUp || standing == Standing::Refused || !hasTurn)
+        const auto status = it.state->judge(request, m_now).status;
+        const auto hasTurn = status != QuarantineStatus::OnTrial || it.onTrial.empty();
+        if (!it.isUp || status == QuarantineStatus::Refused || !hasTurn)
             return false;
         ++sends[request];
         sendTimes[request].push_back(m_now);
         it.running.insert(request);
-        if (standing == Standing::OnTrial)
+        if (status == QuarantineStatus::OnTrial)
             it.onTrial.insert(request);
         after(RunTime, [this, host, request, incarnation = it.incarnation] {
             finish(host, request, incarnation);
@@ -135,7 +135,7 @@
     {
         return static_cast<std::size_t>(
                 std::count_if(m_hosts.begin(), m_hosts.end(), [&](const auto &it) {
-                    return it.state->judge(request, m_now).standing == Standing::Refused;
+                    return it.state->judge(request, m_now).status == QuarantineStatus::Refused;
                 }));
     }
 
