--- a/include/stairspur/quarantine/QuarantineState.h
+++ b/include/stairspur/quarantine/QuarantineState.h
@@ -24,7 +24,7 @@
 };
 
 /// What a gate does with a request.
-struct Judgement
+struct QuarantineDecision
 {
     QuarantineStatus status = QuarantineStatus::Clear;
     Duration retryAfter{0}; ///< Time after which a refused request may run again; otherwise zero.
@@ -51,7 +51,7 @@
 {
     RequestFingerprint request;
     std::uint32_t crashes = 0;
-    Judgement judgement;
+    QuarantineDecision decision;
 };
 
 /// A message to a peer, to be sent as one datagram.
@@ -87,7 +87,8 @@
     /// Clears all suspected or refused requests of this name on behalf of an operator. Returns their number.
     auto release(std::string_view name, TimePoint now) -> std::size_t;
     /// Returns whether the request may run now.
-    [[nodiscard]] auto judge(const RequestFingerprint &request, TimePoint now) const -> Judgement;
+    [[nodiscard]] auto decide(const RequestFingerprint &request, TimePoint now) const
+            -> QuarantineDecision;
 
     /// Processes a datagram of a peer. Throws InputError if it is not a valid message.
     auto receive(const NodeId &from, std::string_view payload, TimePoint now) -> void;
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -194,13 +194,13 @@
 
     const auto fingerprint = fingerprintOf(request);
     const auto deadline = now + request.remaining;
-    const auto judgement = m_quarantine.judge(fingerprint);
-    if (judgement.status == QuarantineStatus::Refused)
-        co_return refusal(request, Reason::Quarantined, judgement.retryAfter);
+    const auto quarantineDecision = m_quarantine.decide(fingerprint);
+    if (quarantineDecision.status == QuarantineStatus::Refused)
+        co_return refusal(request, Reason::Quarantined, quarantineDecision.retryAfter);
 
     ++m_calls;
     auto answer = CallAnswer();
-    if (judgement.status == QuarantineStatus::OnTrial)
+    if (quarantineDecision.status == QuarantineStatus::OnTrial)
         answer = co_await handleOnTrial(std::move(request), fingerprint, deadline, cancellation);
     else
         answer = co_await admit(std::move(request), fingerprint, deadline, cancellation);
@@ -216,9 +216,9 @@
     if (!turn)
         co_return refusal(request, Reason::QueueFull, TrialRetryAfter);
     // What ran before it may have decided its own case.
-    const auto judgement = m_quarantine.judge(fingerprint);
-    if (judgement.status == QuarantineStatus::Refused)
-        co_return refusal(request, Reason::Quarantined, judgement.retryAfter);
+    const auto quarantineDecision = m_quarantine.decide(fingerprint);
+    if (quarantineDecision.status == QuarantineStatus::Refused)
+        co_return refusal(request, Reason::Quarantined, quarantineDecision.retryAfter);
     co_return co_await admit(std::move(request), fingerprint, deadline, std::move(cancellation));
 }
 
@@ -237,12 +237,12 @@
     if (decision.reason != Reason::None)
         co_return refusal(request, decision.reason, decision.retryAfter);
     // The verdict may have fallen while it waited.
-    const auto judgement = m_quarantine.judge(fingerprint);
-    if (judgement.status == QuarantineStatus::Refused) {
+    const auto quarantineDecision = m_quarantine.decide(fingerprint);
+    if (quarantineDecision.status == QuarantineStatus::Refused) {
         const auto now = monotonicNow();
         apply(m_admission->didComplete(id, admission::Completion::Cancelled, Duration::zero(), now,
                                        m_random));
-        co_return refusal(request, Reason::Quarantined, judgement.retryAfter);
+        co_return refusal(request, Reason::Quarantined, quarantineDecision.retryAfter);
     }
     co_return co_await dispatch(id, std::move(request), fingerprint, deadline,
                                 std::move(cancellation));
@@ -314,7 +314,7 @@
     }
     co_await m_crashes.didEnd(id, fingerprint, verdict, failure, m_backend);
     // It ended the last backend server that it was to end: nobody may send it on.
-    if (failure && m_quarantine.judge(fingerprint).status == QuarantineStatus::Refused)
+    if (failure && m_quarantine.decide(fingerprint).status == QuarantineStatus::Refused)
         verdict.reason = Reason::Quarantined;
     const auto now = monotonicNow();
     answer.outcome = verdict.outcome;
--- a/source/node/QuarantineKeeper.cpp
+++ b/source/node/QuarantineKeeper.cpp
@@ -45,9 +45,10 @@
     scheduleTick(monotonicNow() + TickInterval);
 }
 
-auto QuarantineKeeper::judge(const RequestFingerprint &request) const -> quarantine::Judgement
+auto QuarantineKeeper::decide(const RequestFingerprint &request) const
+        -> quarantine::QuarantineDecision
 {
-    return m_state.judge(request, monotonicNow());
+    return m_state.decide(request, monotonicNow());
 }
 
 auto QuarantineKeeper::didCrash(const std::vector<RequestFingerprint> &requests) -> void
--- a/source/node/QuarantineKeeper.h
+++ b/source/node/QuarantineKeeper.h
@@ -40,8 +40,8 @@
     /// Begins to ask peers.
     auto start() -> void;
 
-    [[nodiscard]] auto judge(const quarantine::RequestFingerprint &request) const
-            -> quarantine::Judgement;
+    [[nodiscard]] auto decide(const quarantine::RequestFingerprint &request) const
+            -> quarantine::QuarantineDecision;
     auto didCrash(const std::vector<quarantine::RequestFingerprint> &requests) -> void;
     auto didAnswer(const quarantine::RequestFingerprint &request) -> void;
     /// A datagram of another node.
--- a/source/node/StatusReport.cpp
+++ b/source/node/StatusReport.cpp
@@ -118,9 +118,9 @@
     const auto entries = board.quarantine.read();
     for (const auto &it : *entries)
         reports.push_back({{"request", it.request.name()},
-                           {"standing", nameOf(it.judgement.status)},
+                           {"standing", nameOf(it.decision.status)},
                            {"crashes", it.crashes},
-                           {"retryAfterSeconds", toSeconds(it.judgement.retryAfter)}});
+                           {"retryAfterSeconds", toSeconds(it.decision.retryAfter)}});
     return reports;
 }
 
--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -105,7 +105,8 @@
     return true;
 }
 
-auto QuarantineState::judge(const RequestFingerprint &request, TimePoint now) const -> Judgement
+auto QuarantineState::decide(const RequestFingerprint &request, TimePoint now) const
+        -> QuarantineDecision
 {
     if (m_records.empty())
         return {};
@@ -389,7 +390,7 @@
     auto found = std::vector<QuarantineEntry>();
     for (const auto &[request, record] : m_records) {
         if (isRestricted(record))
-            found.push_back({request, record.count(), judge(request, now)});
+            found.push_back({request, record.count(), decide(request, now)});
     }
     std::sort(found.begin(), found.end(),
               [](const auto &a, const auto &b) { return a.request < b.request; });
--- a/tests/measure/quarantine/main.cpp
+++ b/tests/measure/quarantine/main.cpp
@@ -93,7 +93,7 @@
     const auto now = monotonicNow();
     measureTime("decision on a request without crashes, and its answer", [&](int n) {
         const auto request = RequestFingerprint{1, static_cast<std::uint64_t>(n)};
-        if (state.judge(request, now).status == QuarantineStatus::Clear)
+        if (state.decide(request, now).status == QuarantineStatus::Clear)
             state.didAnswer(request, now);
     });
 }
--- a/tests/quarantine/TestQuarantineFleet.cpp
+++ b/tests/quarantine/TestQuarantineFleet.cpp
@@ -126,8 +126,8 @@
     auto others = std::uint64_t{0};
     runTraffic(fleet, std::chrono::seconds(5), {Poison}, others);
     const auto waitForHold = [&fleet] {
-        const auto judgement = fleet.state(0).judge(requestOf(Poison), fleet.now());
-        fleet.runFor(judgement.retryAfter + std::chrono::seconds(1));
+        const auto decision = fleet.state(0).decide(requestOf(Poison), fleet.now());
+        fleet.runFor(decision.retryAfter + std::chrono::seconds(1));
     };
     waitForHold();
     cr_assert_eq(fleet.refusing(requestOf(Poison)), 14, "all nodes but one still refuse it");
@@ -217,7 +217,7 @@
         state.didCrash(ran, now += std::chrono::milliseconds(10));
     }
     cr_assert_eq(state.size(), QuarantineSettings().mostRecords);
-    cr_assert(state.judge(poison, now).status == QuarantineStatus::Refused);
+    cr_assert(state.decide(poison, now).status == QuarantineStatus::Refused);
     now += std::chrono::hours(3);
     state.tick(now);
     cr_assert_eq(state.size(), 0, "all records expire");
@@ -235,13 +235,13 @@
         state.didCrash({requestOf(1)}, now);
     for (auto n = 0; n < 20; ++n) {
         state.didCrash({requestOf(1)}, now);
-        const auto judgement = state.judge(requestOf(1), now);
-        cr_assert(judgement.status == QuarantineStatus::Refused);
-        cr_assert_eq(judgement.retryAfter.count(), expected.count(), "crash %d", n);
+        const auto decision = state.decide(requestOf(1), now);
+        cr_assert(decision.status == QuarantineStatus::Refused);
+        cr_assert_eq(decision.retryAfter.count(), expected.count(), "crash %d", n);
         expected = std::min(2 * expected, settings.longestHold);
-        now += judgement.retryAfter;
+        now += decision.retryAfter;
         state.tick(now);
-        cr_assert(state.judge(requestOf(1), now).status == QuarantineStatus::OnTrial);
+        cr_assert(state.decide(requestOf(1), now).status == QuarantineStatus::OnTrial);
     }
 }
 
@@ -257,10 +257,10 @@
         first.didCrash({requestOf(1), requestOf(2)}, now);
     for (const auto &it : first.takeDatagrams())
         second.receive("a", it.payload, now);
-    cr_assert(second.judge(requestOf(1), now).status == QuarantineStatus::Clear);
-    cr_assert(second.judge(requestOf(2), now).status == QuarantineStatus::Refused);
+    cr_assert(second.decide(requestOf(1), now).status == QuarantineStatus::Clear);
+    cr_assert(second.decide(requestOf(2), now).status == QuarantineStatus::Refused);
     // A crash of its own backend server is not recorded either for a request that the server has just answered.
     second.didCrash({requestOf(1)}, now);
     second.didCrash({requestOf(1)}, now);
-    cr_assert(second.judge(requestOf(1), now).status == QuarantineStatus::Clear);
+    cr_assert(second.decide(requestOf(1), now).status == QuarantineStatus::Clear);
 }
--- a/tests/quarantine/VirtualFleet.h
+++ b/tests/quarantine/VirtualFleet.h
@@ -71,7 +71,7 @@
     auto offerTo(std::size_t host, const RequestFingerprint &request) -> bool
     {
         auto &it = m_hosts[host];
-        const auto status = it.state->judge(request, m_now).status;
+        const auto status = it.state->decide(request, m_now).status;
         const auto hasTurn = status != QuarantineStatus::OnTrial || it.onTrial.empty();
         if (!it.isUp || status == QuarantineStatus::Refused || !hasTurn)
             return false;
@@ -135,7 +135,7 @@
     {
         return static_cast<std::size_t>(
                 std::count_if(m_hosts.begin(), m_hosts.end(), [&](const auto &it) {
-                    return it.state->judge(request, m_now).status == QuarantineStatus::Refused;
+                    return it.state->decide(request, m_now).status == QuarantineStatus::Refused;
                 }));
     }
 
