--- a/include/stairspur/quarantine/QuarantineState.h
+++ b/include/stairspur/quarantine/QuarantineState.h
@@ -18,8 +18,8 @@
 
 /// Whether a gate lets a request run.
 enum class QuarantineStatus {
-    Clear,   ///< The request runs without restriction.
-    OnTrial, ///< Suspected: it runs while no other suspected request runs at the same backend server.
+    Clear,     ///< The request runs without restriction.
+    Suspected, ///< Suspected: it runs while no other suspected request runs at the same backend server.
     Refused, ///< The request is not sent to a backend server.
 };
 
@@ -32,15 +32,15 @@
 
 /// Change of a request's status.
 enum class QuarantineChange {
-    OnTrial,
+    Suspected,
     Refused,
-    Acquitted,
+    Cleared,
 };
 
 /// Reports a change of a request's status, for logs and for the store.
 struct QuarantineEvent
 {
-    QuarantineChange change = QuarantineChange::OnTrial;
+    QuarantineChange change = QuarantineChange::Suspected;
     RequestFingerprint request;
     std::uint32_t crashes = 0;
     bool isOwn = false; ///< Whether this node's gate caused the change; otherwise, a peer did.
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -200,7 +200,7 @@
 
     ++m_calls;
     auto answer = CallAnswer();
-    if (quarantineDecision.status == QuarantineStatus::OnTrial)
+    if (quarantineDecision.status == QuarantineStatus::Suspected)
         answer = co_await handleOnTrial(std::move(request), fingerprint, deadline, cancellation);
     else
         answer = co_await admit(std::move(request), fingerprint, deadline, cancellation);
--- a/source/node/QuarantineKeeper.cpp
+++ b/source/node/QuarantineKeeper.cpp
@@ -179,7 +179,7 @@
         return;
     if (event.change == QuarantineChange::Refused)
         m_save(event.request.name(), m_state.save(event.request, monotonicNow()));
-    if (event.change == QuarantineChange::Acquitted)
+    if (event.change == QuarantineChange::Cleared)
         m_save(event.request.name(), {});
 }
 
--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -54,9 +54,9 @@
         || (after > before && before >= m_settings.crashesToRefuse))
         m_events.push_back({QuarantineChange::Refused, request, after, isOwn});
     else if (crosses(m_settings.crashesToTrial))
-        m_events.push_back({QuarantineChange::OnTrial, request, after, isOwn});
+        m_events.push_back({QuarantineChange::Suspected, request, after, isOwn});
     else if (before >= m_settings.crashesToTrial && after < m_settings.crashesToTrial)
-        m_events.push_back({QuarantineChange::Acquitted, request, before, isOwn});
+        m_events.push_back({QuarantineChange::Cleared, request, before, isOwn});
 }
 
 auto QuarantineState::didAnswer(const RequestFingerprint &request, TimePoint now) -> void
@@ -115,13 +115,13 @@
         return {};
     const auto n = it->second.count();
     if (n < m_settings.crashesToRefuse)
-        return {QuarantineStatus::OnTrial, Duration::zero()};
+        return {QuarantineStatus::Suspected, Duration::zero()};
     const auto until = it->second.lastCrash() + m_settings.holdAfter(n);
     if (now < until)
         return {QuarantineStatus::Refused, until - now};
     // Only one node runs the request again: if all did, each could lose a backend server.
     if (isChosenToRetry(request))
-        return {QuarantineStatus::OnTrial, Duration::zero()};
+        return {QuarantineStatus::Suspected, Duration::zero()};
     return {QuarantineStatus::Refused, TrialRetryAfter};
 }
 
--- a/tests/quarantine/TestQuarantineFleet.cpp
+++ b/tests/quarantine/TestQuarantineFleet.cpp
@@ -241,7 +241,7 @@
         expected = std::min(2 * expected, settings.longestHold);
         now += decision.retryAfter;
         state.tick(now);
-        cr_assert(state.decide(requestOf(1), now).status == QuarantineStatus::OnTrial);
+        cr_assert(state.decide(requestOf(1), now).status == QuarantineStatus::Suspected);
     }
 }
 
--- a/tests/quarantine/VirtualFleet.h
+++ b/tests/quarantine/VirtualFleet.h
@@ -72,13 +72,13 @@
     {
         auto &it = m_hosts[host];
         const auto status = it.state->decide(request, m_now).status;
-        const auto hasTurn = status != QuarantineStatus::OnTrial || it.onTrial.empty();
+        const auto hasTurn = status != QuarantineStatus::Suspected || it.onTrial.empty();
         if (!it.isUp || status == QuarantineStatus::Refused || !hasTurn)
             return false;
         ++sends[request];
         sendTimes[request].push_back(m_now);
         it.running.insert(request);
-        if (status == QuarantineStatus::OnTrial)
+        if (status == QuarantineStatus::Suspected)
             it.onTrial.insert(request);
         after(RunTime, [this, host, request, incarnation = it.incarnation] {
             finish(host, request, incarnation);
