--- a/include/stairspur/quarantine/CrashDetector.h
+++ b/include/stairspur/quarantine/CrashDetector.h
@@ -25,17 +25,17 @@
     auto didAnswer(CallId id) -> void;
     /// Records that the call's connection broke before a complete response. Returns whether a crash of the server could be
     /// the cause; false when the call was already reported as part of a crash.
-    auto didBreak(CallId id) -> bool;
+    auto didLoseConnection(CallId id) -> bool;
     /// Records that the call ended in another way: it was cancelled, timed out, or never connected.
     auto didEndOtherwise(CallId id) -> void;
 
     /// Records that the server's port refuses connections: the server crashed while all running and all broken calls were
     /// at it. Returns their requests, sorted and each once, and removes all calls.
-    auto takeCrash() -> std::vector<RequestFingerprint>;
+    auto takeSuspects() -> std::vector<RequestFingerprint>;
     /// Records that another process instance has replaced the server, or that the server has left. If connections of calls
     /// broke before and the replacement was not announced (`wasExpected` is false), the server crashed: returns the requests
     /// of all running and all broken calls, sorted and each once. Removes all calls.
-    auto didReplace(bool wasExpected) -> std::vector<RequestFingerprint>;
+    auto didReplaceBackend(bool wasExpected) -> std::vector<RequestFingerprint>;
 
 private:
     struct Call
--- a/source/node/CrashWatch.cpp
+++ b/source/node/CrashWatch.cpp
@@ -20,7 +20,7 @@
 auto CrashWatch::didReplace(const LocalBackend &former) -> void
 {
     ++m_replacements;
-    if (const auto requests = m_detector.didReplace(isLeaving(former)); !requests.empty())
+    if (const auto requests = m_detector.didReplaceBackend(isLeaving(former)); !requests.empty())
         m_quarantine.didCrash(requests);
 }
 
@@ -36,7 +36,7 @@
         m_quarantine.didAnswer(request);
     } else if (failure != HttpFailure::Broken) {
         m_detector.didEndOtherwise(id);
-    } else if (m_detector.didBreak(id) && !isLeaving(backend)) {
+    } else if (m_detector.didLoseConnection(id) && !isLeaving(backend)) {
         co_await lookForCrash(backend);
     }
 }
@@ -54,7 +54,7 @@
     const auto isClosed =
             co_await transport::isPortClosed(m_io, {address, backend.port}, ProbeTimeout);
     if (isClosed && replacements == m_replacements)
-        m_quarantine.didCrash(m_detector.takeCrash());
+        m_quarantine.didCrash(m_detector.takeSuspects());
     std::exchange(m_probe, nullptr)->cancel();
 }
 
--- a/source/quarantine/CrashDetector.cpp
+++ b/source/quarantine/CrashDetector.cpp
@@ -21,7 +21,7 @@
     m_calls.erase(it);
 }
 
-auto CrashDetector::didBreak(CallId id) -> bool
+auto CrashDetector::didLoseConnection(CallId id) -> bool
 {
     const auto it = m_calls.find(id);
     if (it == m_calls.end())
@@ -42,7 +42,7 @@
     requests.erase(std::unique(requests.begin(), requests.end()), requests.end());
 }
 
-auto CrashDetector::takeCrash() -> std::vector<RequestFingerprint>
+auto CrashDetector::takeSuspects() -> std::vector<RequestFingerprint>
 {
     auto requests = std::vector<RequestFingerprint>();
     for (const auto &it : m_broken)
@@ -54,11 +54,11 @@
     return requests;
 }
 
-auto CrashDetector::didReplace(bool wasExpected) -> std::vector<RequestFingerprint>
+auto CrashDetector::didReplaceBackend(bool wasExpected) -> std::vector<RequestFingerprint>
 {
     const auto isExplained = wasExpected || m_broken.empty();
     if (!isExplained)
-        return takeCrash();
+        return takeSuspects();
     clear();
     return {};
 }
--- a/tests/quarantine/TestCrashDetector.cpp
+++ b/tests/quarantine/TestCrashDetector.cpp
@@ -23,20 +23,20 @@
         detector.didSend(n, requestOf(n));
     detector.didAnswer(1);
     detector.didEndOtherwise(2);
-    cr_assert(detector.didBreak(3));
-    cr_assert_eq(detector.takeCrash(), sorted({requestOf(3), requestOf(4)}));
-    cr_assert(!detector.didBreak(4), "the call was already reported as part of the crash");
-    cr_assert(detector.takeCrash().empty());
+    cr_assert(detector.didLoseConnection(3));
+    cr_assert_eq(detector.takeSuspects(), sorted({requestOf(3), requestOf(4)}));
+    cr_assert(!detector.didLoseConnection(4), "the call was already reported as part of the crash");
+    cr_assert(detector.takeSuspects().empty());
 }
 
 Test(CrashDetector, answerClearsCallsThatBrokeBeforeItWasSent)
 {
     auto detector = CrashDetector();
     detector.didSend(1, requestOf(1));
-    detector.didBreak(1);
+    detector.didLoseConnection(1);
     detector.didSend(2, requestOf(2));
     detector.didAnswer(2);
-    cr_assert(detector.didReplace(false).empty());
+    cr_assert(detector.didReplaceBackend(false).empty());
 }
 
 Test(CrashDetector, answerOfACallSentBeforeABreakDoesNotClearIt)
@@ -44,9 +44,9 @@
     auto detector = CrashDetector();
     detector.didSend(1, requestOf(1));
     detector.didSend(2, requestOf(2));
-    detector.didBreak(1);
+    detector.didLoseConnection(1);
     detector.didAnswer(2);
-    cr_assert_eq(detector.didReplace(false), Requests{requestOf(1)},
+    cr_assert_eq(detector.didReplaceBackend(false), Requests{requestOf(1)},
                  "a quick restart of the server explains the broken connection");
 }
 
@@ -54,6 +54,6 @@
 {
     auto detector = CrashDetector();
     detector.didSend(1, requestOf(1));
-    detector.didBreak(1);
-    cr_assert(detector.didReplace(true).empty());
+    detector.didLoseConnection(1);
+    cr_assert(detector.didReplaceBackend(true).empty());
 }
