--- a/include/stairspur/quarantine/CrashRecord.h
+++ b/include/stairspur/quarantine/CrashRecord.h
@@ -21,7 +21,7 @@
     struct Crash
     {
         CrashId id = 0;
-        bool isAcquitted = false;
+        bool isCleared = false;
 
         auto operator==(const Crash &) const -> bool = default;
     };
@@ -31,12 +31,12 @@
     auto add(const Crash &crash, std::size_t most) -> bool;
     /// Clears the request of all recorded crashes, because it received a complete response. Returns whether the record
     /// changed.
-    auto acquit() -> bool;
+    auto markCleared() -> bool;
     /// Records the time of a crash; an earlier time than that of the last crash has no effect.
     auto didCrashAt(TimePoint time) -> void { m_lastCrash = std::max(m_lastCrash, time); }
 
     /// Returns the number of crashes of which the request has not been cleared.
-    [[nodiscard]] auto count() const -> std::uint32_t;
+    [[nodiscard]] auto unclearedCount() const -> std::uint32_t;
     [[nodiscard]] auto lastCrash() const -> TimePoint { return m_lastCrash; }
     [[nodiscard]] auto crashes() const -> const std::vector<Crash> & { return m_crashes; }
     /// Returns a hash that is equal on all nodes whose records of the request have the same crashes.
--- a/source/quarantine/Messages.cpp
+++ b/source/quarantine/Messages.cpp
@@ -28,7 +28,7 @@
 
 static auto toJson(const CrashRecord::Crash &it) -> Json
 {
-    return Json::array({it.id, it.isAcquitted});
+    return Json::array({it.id, it.isCleared});
 }
 
 template <typename Item>
--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -38,11 +38,11 @@
                                   bool isOwn) -> bool
 {
     auto &record = m_records[request];
-    const auto before = record.count();
+    const auto before = record.unclearedCount();
     record.didCrashAt(now);
     if (!record.add({crash, false}, m_settings.mostCrashesOfOne))
         return false;
-    reportChange(request, before, record.count(), isOwn);
+    reportChange(request, before, record.unclearedCount(), isOwn);
     return true;
 }
 
@@ -92,8 +92,8 @@
 auto QuarantineState::clearRequest(const RequestFingerprint &request, CrashRecord &record,
                                    TimePoint now) -> bool
 {
-    const auto before = record.count();
-    if (!record.acquit())
+    const auto before = record.unclearedCount();
+    if (!record.markCleared())
         return false;
     reportChange(request, before, 0, true);
     m_unsentClearances.push_back(request);
@@ -113,7 +113,7 @@
     const auto it = m_records.find(request);
     if (it == m_records.end() || !isRestricted(it->second))
         return {};
-    const auto n = it->second.count();
+    const auto n = it->second.unclearedCount();
     if (n < m_settings.crashesToRefuse)
         return {QuarantineStatus::Suspected, Duration::zero()};
     const auto until = it->second.lastCrash() + m_settings.holdAfter(n);
@@ -127,7 +127,7 @@
 
 auto QuarantineState::isRestricted(const CrashRecord &record) const -> bool
 {
-    return record.count() >= m_settings.crashesToTrial;
+    return record.unclearedCount() >= m_settings.crashesToTrial;
 }
 
 /// Returns whether this node is the one that runs a refused request again. It has the highest random weight (Thaler and
@@ -193,16 +193,16 @@
     if (item.age >= 2 * m_settings.longestHold)
         return false;
     auto &record = m_records[item.request];
-    const auto before = record.count();
+    const auto before = record.unclearedCount();
     auto hasChanged = false;
     for (const auto &it : item.crashes)
         hasChanged = record.add(it, m_settings.mostCrashesOfOne) || hasChanged;
     record.didCrashAt(now - item.age);
-    reportChange(item.request, before, record.count(), false);
+    reportChange(item.request, before, record.unclearedCount(), false);
     return hasChanged;
 }
 
-/// Returns whether this node has recorded a crash of the request that the item lacks, or another value of isAcquitted.
+/// Returns whether this node has recorded a crash of the request that the item lacks, or another value of isCleared.
 auto QuarantineState::hasMoreThan(const Records::Item &item) const -> bool
 {
     const auto it = m_records.find(item.request);
@@ -211,7 +211,7 @@
     const auto &recorded = it->second.crashes();
     return std::any_of(recorded.begin(), recorded.end(), [&item](const auto &own) {
         return std::none_of(item.crashes.begin(), item.crashes.end(), [&own](const auto &received) {
-            return received.id == own.id && received.isAcquitted == own.isAcquitted;
+            return received.id == own.id && received.isCleared == own.isCleared;
         });
     });
 }
@@ -265,7 +265,7 @@
     auto restricted = std::vector<std::pair<std::uint32_t, Records::Item>>();
     for (const auto &[request, record] : m_records) {
         if (isRestricted(record))
-            restricted.emplace_back(record.count(), itemOf(request, record, now));
+            restricted.emplace_back(record.unclearedCount(), itemOf(request, record, now));
     }
     std::sort(restricted.begin(), restricted.end(), [](const auto &a, const auto &b) {
         return std::tie(b.first, a.second.request) < std::tie(a.first, b.second.request);
@@ -333,11 +333,11 @@
 {
     std::erase_if(m_records, [&](const auto &it) {
         const auto &record = it.second;
-        const auto isRefused = record.count() >= m_settings.crashesToRefuse;
+        const auto isRefused = record.unclearedCount() >= m_settings.crashesToRefuse;
         // A refused request is recorded beyond the time of its refusal, because it may run again then. If its crashes were
         // removed by that time, more servers would have to crash before it is refused again.
-        const auto lifetime =
-                isRefused ? 2 * m_settings.holdAfter(record.count()) : m_settings.suspicionTime;
+        const auto lifetime = isRefused ? 2 * m_settings.holdAfter(record.unclearedCount())
+                                        : m_settings.suspicionTime;
         return now - record.lastCrash() >= lifetime;
     });
 }
@@ -349,7 +349,7 @@
         return;
     auto ranks = std::vector<std::tuple<std::uint32_t, TimePoint, RequestFingerprint>>();
     for (const auto &[request, record] : m_records)
-        ranks.emplace_back(record.count(), record.lastCrash(), request);
+        ranks.emplace_back(record.unclearedCount(), record.lastCrash(), request);
     const auto excess = static_cast<std::ptrdiff_t>(m_records.size() - m_settings.mostRecords);
     std::nth_element(ranks.begin(), ranks.begin() + excess, ranks.end());
     for (auto it = ranks.begin(); it != ranks.begin() + excess; ++it)
@@ -390,7 +390,7 @@
     auto found = std::vector<QuarantineEntry>();
     for (const auto &[request, record] : m_records) {
         if (isRestricted(record))
-            found.push_back({request, record.count(), decide(request, now)});
+            found.push_back({request, record.unclearedCount(), decide(request, now)});
     }
     std::sort(found.begin(), found.end(),
               [](const auto &a, const auto &b) { return a.request < b.request; });
