--- a/include/stairspur/quarantine/Messages.h
+++ b/include/stairspur/quarantine/Messages.h
@@ -15,11 +15,11 @@
 namespace stairspur::quarantine {
 
 /// Reports that a backend server has just crashed while these requests were running.
-struct CrashNews
+struct CrashReport
 {
     CrashId crash = 0;
     /// Whether a receiver to which any of it is new forwards the message; set when it is not sent to every peer.
-    bool mayPassOn = false;
+    bool shouldForward = false;
     std::vector<RequestFingerprint> requests;
 };
 
@@ -41,14 +41,14 @@
         Duration age{0}; ///< Time since the last crash.
     };
 
-    bool mayPassOn = false; ///< Same meaning as in CrashNews.
+    bool shouldForward = false; ///< Same meaning as in CrashReport.
     std::vector<Item> items;
 };
 
-using Message = std::variant<CrashNews, Digest, Records>;
+using Message = std::variant<CrashReport, Digest, Records>;
 
-/// Splits `news` into messages of at most `mostBytes` bytes each.
-auto splitNews(const CrashNews &news, std::size_t mostBytes) -> std::vector<CrashNews>;
+/// Splits `report` into messages of at most `mostBytes` bytes each.
+auto splitCrashReport(const CrashReport &report, std::size_t mostBytes) -> std::vector<CrashReport>;
 
 /// Splits `records` into messages of at most `mostBytes` bytes each.
 auto splitRecords(const Records &records, std::size_t mostBytes) -> std::vector<Records>;
--- a/include/stairspur/quarantine/QuarantineState.h
+++ b/include/stairspur/quarantine/QuarantineState.h
@@ -122,7 +122,7 @@
             -> bool;
     auto reportChange(const RequestFingerprint &request, std::uint32_t before, std::uint32_t after,
                       bool isOwn) -> void;
-    auto receiveCrashReport(CrashNews news, TimePoint now) -> void;
+    auto receiveCrashReport(CrashReport news, TimePoint now) -> void;
     auto receiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void;
     auto receiveRecords(const NodeId &from, Records records, TimePoint now) -> void;
     auto sendDigest(TimePoint now) -> void;
--- a/source/quarantine/Messages.cpp
+++ b/source/quarantine/Messages.cpp
@@ -13,7 +13,7 @@
 
 /// Kind of a message; the first element of each encoded message.
 enum class Kind : std::uint8_t {
-    CrashNews = 1,
+    CrashReport = 1,
     Digest = 2,
     Records = 3,
 };
@@ -46,9 +46,9 @@
             {toJson(it.request), toJson(it.crashes), static_cast<std::uint64_t>(it.age.count())});
 }
 
-static auto toJson(const CrashNews &it) -> Json
+static auto toJson(const CrashReport &it) -> Json
 {
-    return Json::array({Kind::CrashNews, it.crash, it.mayPassOn, toJson(it.requests)});
+    return Json::array({Kind::CrashReport, it.crash, it.shouldForward, toJson(it.requests)});
 }
 
 static auto toJson(const Digest &it) -> Json
@@ -58,10 +58,10 @@
 
 static auto toJson(const Records &it) -> Json
 {
-    return Json::array({Kind::Records, it.mayPassOn, toJson(it.items)});
+    return Json::array({Kind::Records, it.shouldForward, toJson(it.items)});
 }
 
-/// Upper bound of the encoded size of one request in CrashNews, in bytes.
+/// Upper bound of the encoded size of one request in CrashReport, in bytes.
 static constexpr auto MaxRequestBytes = std::size_t{20};
 /// Returns an upper bound of the encoded size of one item in Records with `crashes` crashes, in bytes.
 static constexpr auto maxItemBytes(std::size_t crashes) -> std::size_t
@@ -71,13 +71,13 @@
 /// Upper bound of the encoded size of a message without its requests or items, in bytes.
 static constexpr auto MaxFrameBytes = std::size_t{32};
 
-auto splitNews(const CrashNews &news, std::size_t mostBytes) -> std::vector<CrashNews>
+auto splitCrashReport(const CrashReport &report, std::size_t mostBytes) -> std::vector<CrashReport>
 {
     const auto perMessage = (mostBytes - MaxFrameBytes) / MaxRequestBytes;
-    auto parts = std::vector<CrashNews>();
-    for (const auto &it : news.requests) {
+    auto parts = std::vector<CrashReport>();
+    for (const auto &it : report.requests) {
         if (parts.empty() || parts.back().requests.size() >= perMessage)
-            parts.push_back({news.crash, news.mayPassOn, {}});
+            parts.push_back({report.crash, report.shouldForward, {}});
         parts.back().requests.push_back(it);
     }
     return parts;
@@ -90,7 +90,7 @@
     for (const auto &it : records.items) {
         const auto size = maxItemBytes(it.crashes.size());
         if (parts.empty() || bytes + size > mostBytes) {
-            parts.push_back({records.mayPassOn, {}});
+            parts.push_back({records.shouldForward, {}});
             bytes = MaxFrameBytes;
         }
         bytes += size;
@@ -119,14 +119,14 @@
     return {readNumber(json.at(0)), readNumber(json.at(1))};
 }
 
-static auto readCrashNews(const Json &json) -> CrashNews
+static auto readCrashReport(const Json &json) -> CrashReport
 {
-    auto news = CrashNews();
-    news.crash = readNumber(json.at(1));
-    news.mayPassOn = json.at(2).get<bool>();
+    auto report = CrashReport();
+    report.crash = readNumber(json.at(1));
+    report.shouldForward = json.at(2).get<bool>();
     for (const auto &it : json.at(3))
-        news.requests.push_back(readFingerprint(it));
-    return news;
+        report.requests.push_back(readFingerprint(it));
+    return report;
 }
 
 static auto readItem(const Json &json) -> Records::Item
@@ -144,7 +144,7 @@
 static auto readRecords(const Json &json) -> Records
 {
     auto records = Records();
-    records.mayPassOn = json.at(1).get<bool>();
+    records.shouldForward = json.at(1).get<bool>();
     for (const auto &it : json.at(2))
         records.items.push_back(readItem(it));
     return records;
@@ -154,8 +154,8 @@
 static auto readByKind(const Json &json) -> Message
 {
     switch (static_cast<Kind>(std::min(readNumber(json.at(0)), MaxKind))) {
-    case Kind::CrashNews:
-        return readCrashNews(json);
+    case Kind::CrashReport:
+        return readCrashReport(json);
     case Kind::Digest:
         return Digest{readNumber(json.at(1)), json.at(2).get<bool>()};
     case Kind::Records:
--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -143,8 +143,8 @@
 auto QuarantineState::receive(const NodeId &from, std::string_view payload, TimePoint now) -> void
 {
     auto message = readMessage(payload);
-    if (auto *news = std::get_if<CrashNews>(&message))
-        receiveCrashReport(std::move(*news), now);
+    if (auto *report = std::get_if<CrashReport>(&message))
+        receiveCrashReport(std::move(*report), now);
     else if (const auto *digest = std::get_if<Digest>(&message))
         receiveDigest(from, *digest, now);
     else if (auto *records = std::get_if<Records>(&message))
@@ -152,16 +152,16 @@
     removeSurplus();
 }
 
-auto QuarantineState::receiveCrashReport(CrashNews news, TimePoint now) -> void
+auto QuarantineState::receiveCrashReport(CrashReport report, TimePoint now) -> void
 {
     auto hasChanged = false;
-    for (const auto &it : news.requests) {
-        hasChanged = recordCrash(it, news.crash, now, false) || hasChanged;
+    for (const auto &it : report.requests) {
+        hasChanged = recordCrash(it, report.crash, now, false) || hasChanged;
         if (wasRecentlyAnswered(it, now))
             clearRequest(it, m_records.at(it), now);
     }
-    if (hasChanged && news.mayPassOn)
-        send(pickPeers(), news);
+    if (hasChanged && report.shouldForward)
+        send(pickPeers(), report);
 }
 
 auto QuarantineState::receiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
@@ -184,7 +184,7 @@
             missing.items.push_back(itemOf(it.request, m_records.at(it.request), now));
     }
     sendRecords({from}, missing, m_settings.recordDatagrams);
-    if (hasChanged && records.mayPassOn)
+    if (hasChanged && records.shouldForward)
         send(pickPeers(), records);
 }
 
@@ -280,8 +280,8 @@
         -> void
 {
     const auto peers = pickPeers();
-    const auto news = CrashNews{crash, !picksAllPeers(), std::move(requests)};
-    for (const auto &it : splitNews(news, m_settings.mostPayloadBytes))
+    const auto report = CrashReport{crash, !picksAllPeers(), std::move(requests)};
+    for (const auto &it : splitCrashReport(report, m_settings.mostPayloadBytes))
         send(peers, it);
 }
 
--- a/tests/fuzz/quarantine/main.cpp
+++ b/tests/fuzz/quarantine/main.cpp
@@ -13,7 +13,7 @@
 static auto makeSamples() -> std::vector<std::string>
 {
     const auto request = RequestFingerprint{1, 2};
-    return {writeMessage(CrashNews{3, true, {request, request}}), writeMessage(Digest{4, false}),
+    return {writeMessage(CrashReport{3, true, {request, request}}), writeMessage(Digest{4, false}),
             writeMessage(Records{true, {{request, {{5, false}, {6, true}}, Duration{7}}}})};
 }
 
--- a/tests/quarantine/TestQuarantineMessages.cpp
+++ b/tests/quarantine/TestQuarantineMessages.cpp
@@ -11,11 +11,11 @@
 
 Test(QuarantineMessages, writtenMessagesAreReadBack)
 {
-    const auto news = CrashNews{~std::uint64_t{0}, true, {requestOf(1), requestOf(2)}};
-    const auto readNews = std::get<CrashNews>(readMessage(writeMessage(news)));
-    cr_assert_eq(readNews.crash, news.crash);
-    cr_assert(readNews.mayPassOn);
-    cr_assert_eq(readNews.requests, news.requests);
+    const auto report = CrashReport{~std::uint64_t{0}, true, {requestOf(1), requestOf(2)}};
+    const auto readReport = std::get<CrashReport>(readMessage(writeMessage(report)));
+    cr_assert_eq(readReport.crash, report.crash);
+    cr_assert(readReport.shouldForward);
+    cr_assert_eq(readReport.requests, report.requests);
 
     const auto digest = std::get<Digest>(readMessage(writeMessage(Digest{7, true})));
     cr_assert(digest.hash == 7 && digest.isReply);
@@ -37,31 +37,31 @@
 Test(QuarantineMessages, longMessagesAreSplitWithinTheLimit)
 {
     static constexpr auto MostBytes = std::size_t{1'200};
-    auto news = CrashNews{~std::uint64_t{0}, true, {}};
+    auto report = CrashReport{~std::uint64_t{0}, true, {}};
     auto records = Records{true, {}};
     for (auto n = std::uint64_t{0}; n < 200; ++n) {
-        news.requests.push_back(longest(n));
+        report.requests.push_back(longest(n));
         auto item = Records::Item{longest(n), {}, Duration{86'400'000'000}};
         for (auto crash = std::uint64_t{0}; crash < n % 13; ++crash)
             item.crashes.push_back({~crash, true});
         records.items.push_back(std::move(item));
     }
     auto requests = std::vector<RequestFingerprint>();
-    for (const auto &it : splitNews(news, MostBytes)) {
+    for (const auto &it : splitCrashReport(report, MostBytes)) {
         cr_expect_leq(writeMessage(it).size(), MostBytes);
-        cr_expect(it.crash == news.crash && it.mayPassOn);
+        cr_expect(it.crash == report.crash && it.shouldForward);
         requests.insert(requests.end(), it.requests.begin(), it.requests.end());
     }
-    cr_expect_eq(requests, news.requests);
+    cr_expect_eq(requests, report.requests);
     auto items = std::vector<RequestFingerprint>();
     for (const auto &it : splitRecords(records, MostBytes)) {
         cr_expect_leq(writeMessage(it).size(), MostBytes);
-        cr_expect(it.mayPassOn);
+        cr_expect(it.shouldForward);
         for (const auto &item : it.items)
             items.push_back(item.request);
     }
-    cr_expect_eq(items, news.requests);
-    cr_expect(splitNews({}, MostBytes).empty());
+    cr_expect_eq(items, report.requests);
+    cr_expect(splitCrashReport({}, MostBytes).empty());
     cr_expect(splitRecords({}, MostBytes).empty());
 }
 
