--- a/include/stairspur/quarantine/CrashRecord.h
+++ b/include/stairspur/quarantine/CrashRecord.h
@@ -27,8 +27,8 @@
     };
 
     /// Adds a crash, or merges it with the recorded crash of the same id. Returns whether the record changed. Once the record
-    /// holds `most` crashes, a new one is only added in place of a cleared one, and only if it is not cleared itself.
-    auto add(const Crash &crash, std::size_t most) -> bool;
+    /// holds `maxCrashes` crashes, a new one is only added in place of a cleared one, and only if it is not cleared itself.
+    auto add(const Crash &crash, std::size_t maxCrashes) -> bool;
     /// Clears the request of all recorded crashes, because it received a complete response. Returns whether the record
     /// changed.
     auto markCleared() -> bool;
--- a/include/stairspur/quarantine/Messages.h
+++ b/include/stairspur/quarantine/Messages.h
@@ -47,11 +47,11 @@
 
 using Message = std::variant<CrashReport, Digest, Records>;
 
-/// Splits `report` into messages of at most `mostBytes` bytes each.
-auto splitCrashReport(const CrashReport &report, std::size_t mostBytes) -> std::vector<CrashReport>;
+/// Splits `report` into messages of at most `maxBytes` bytes each.
+auto splitCrashReport(const CrashReport &report, std::size_t maxBytes) -> std::vector<CrashReport>;
 
-/// Splits `records` into messages of at most `mostBytes` bytes each.
-auto splitRecords(const Records &records, std::size_t mostBytes) -> std::vector<Records>;
+/// Splits `records` into messages of at most `maxBytes` bytes each.
+auto splitRecords(const Records &records, std::size_t maxBytes) -> std::vector<Records>;
 
 /// Returns the message encoded as CBOR.
 auto writeMessage(const Message &message) -> std::string;
--- a/include/stairspur/quarantine/QuarantineSettings.h
+++ b/include/stairspur/quarantine/QuarantineSettings.h
@@ -17,24 +17,24 @@
     /// Number of crashes from which on a request is suspected: it runs while no other suspected request runs at the same
     /// backend server, so that the next crash identifies the one that caused it. One crash is not enough: all requests that
     /// ran beside the cause would be suspected as well, and would wait for each other without need.
-    std::uint32_t crashesToTrial = 2;
+    std::uint32_t suspectThreshold = 2;
     /// Number of crashes from which on a request is refused. Two requests may run together at both of the first two crashes by
     /// chance (both are sent on together after the first); at the third, the one that causes it is the only suspected one.
-    std::uint32_t crashesToRefuse = 3;
-    /// Time for which a request is refused before it may run once more; doubled with each further crash, up to longestHold.
+    std::uint32_t refuseThreshold = 3;
+    /// Time for which a request is refused before it may run once more; doubled with each further crash, up to maxRefusalTime.
     /// Long enough that a service whose servers need a minute to start loses at most one of five to it; short enough that
     /// callers lose only minutes if the request was refused wrongly or the service has been fixed.
-    Duration firstHold{300'000'000};
+    Duration initialRefusalTime{300'000'000};
     /// Upper bound of the time for which a request is refused after one crash.
-    Duration longestHold{3'600'000'000};
+    Duration maxRefusalTime{3'600'000'000};
 
     /// Returns the time for which a request with `crashes` crashes is refused after the last one.
-    [[nodiscard]] auto holdAfter(std::uint32_t crashes) const -> Duration
+    [[nodiscard]] auto refusalTimeAfter(std::uint32_t crashes) const -> Duration
     {
-        auto hold = firstHold;
-        for (auto n = crashesToRefuse; n < crashes && hold < longestHold; ++n)
-            hold *= 2;
-        return std::min(hold, longestHold);
+        auto time = initialRefusalTime;
+        for (auto n = refuseThreshold; n < crashes && time < maxRefusalTime; ++n)
+            time *= 2;
+        return std::min(time, maxRefusalTime);
     }
 
     /// Time after the last crash at which the record of a request that is not refused is removed. A client that retries a
@@ -42,9 +42,9 @@
     Duration suspicionTime{600'000'000};
 
     /// Upper bound of the number of requests that are recorded. At 150 bytes each, they take 0.6 MB; one crash adds about 60.
-    std::size_t mostRecords = 4'096;
+    std::size_t maxRecords = 4'096;
     /// Upper bound of the number of crashes that are recorded for one request.
-    std::size_t mostCrashesOfOne = 12;
+    std::size_t maxCrashesPerRequest = 12;
 
     /// Number of peers to which a change is sent at once. If each receiver forwards it to 8 peers, all nodes of a service but
     /// a share of e^-8 receive it (rumor mongering, Demers et al., PODC 1987); the others receive it with the next digest.
@@ -58,17 +58,17 @@
     Duration catchUpInterval{250'000};
     /// Gap between two ticks from which on the process is taken to have been suspended: three times the longest regular time
     /// between two ticks.
-    Duration standstill{3'000'000};
+    Duration maxTickGap{3'000'000};
     /// Delay with which complete responses that clear requests of a single crash are sent to peers in one batch. Those that
     /// clear a suspected or refused request are sent at once.
-    Duration answersPause{20'000};
+    Duration clearanceDelay{20'000};
     /// Time for which a complete response clears its request also of crashes that are reported after it. The report of a crash
     /// may arrive after the next run of the request, and a request that was just served does not crash servers.
-    Duration answerMemory{2'000'000};
+    Duration recentAnswerTime{2'000'000};
     /// Upper bound of a payload, in bytes. It leaves room for the envelope in a datagram of 1400 bytes.
-    std::size_t mostPayloadBytes = 1'200;
+    std::size_t maxPayloadBytes = 1'200;
     /// Upper bound of the number of datagrams that are sent in reply to one digest.
-    std::uint32_t recordDatagrams = 4;
+    std::uint32_t maxDatagramsPerDigest = 4;
 };
 
 } // namespace stairspur::quarantine
--- a/include/stairspur/quarantine/QuarantineState.h
+++ b/include/stairspur/quarantine/QuarantineState.h
@@ -130,7 +130,7 @@
     auto sendRestricted(const NodeId &to, TimePoint now) -> void;
     auto sendCrashReport(CrashId crash, std::vector<RequestFingerprint> requests) -> void;
     auto sendRecords(const std::vector<NodeId> &to, const Records &records,
-                     std::size_t mostDatagrams) -> void;
+                     std::size_t maxDatagrams) -> void;
     auto send(const std::vector<NodeId> &to, const Message &message) -> void;
     auto removeExpired(TimePoint now) -> void;
     auto removeSurplus() -> void;
--- a/source/quarantine/CrashRecord.cpp
+++ b/source/quarantine/CrashRecord.cpp
@@ -8,7 +8,7 @@
 
 namespace stairspur::quarantine {
 
-auto CrashRecord::add(const Crash &crash, std::size_t most) -> bool
+auto CrashRecord::add(const Crash &crash, std::size_t maxCrashes) -> bool
 {
     const auto isBefore = [](const auto &a, CrashId id) { return a.id < id; };
     const auto it = std::lower_bound(m_crashes.begin(), m_crashes.end(), crash.id, isBefore);
@@ -17,7 +17,7 @@
         it->isCleared = it->isCleared || crash.isCleared;
         return hasChanged;
     }
-    if (m_crashes.size() >= most && (crash.isCleared || !removeOneCleared()))
+    if (m_crashes.size() >= maxCrashes && (crash.isCleared || !removeOneCleared()))
         return false;
     const auto at = std::lower_bound(m_crashes.begin(), m_crashes.end(), crash.id, isBefore);
     m_crashes.insert(at, crash);
--- a/source/quarantine/Messages.cpp
+++ b/source/quarantine/Messages.cpp
@@ -71,9 +71,9 @@
 /// Upper bound of the encoded size of a message without its requests or items, in bytes.
 static constexpr auto MaxFrameBytes = std::size_t{32};
 
-auto splitCrashReport(const CrashReport &report, std::size_t mostBytes) -> std::vector<CrashReport>
+auto splitCrashReport(const CrashReport &report, std::size_t maxBytes) -> std::vector<CrashReport>
 {
-    const auto perMessage = (mostBytes - MaxFrameBytes) / MaxRequestBytes;
+    const auto perMessage = (maxBytes - MaxFrameBytes) / MaxRequestBytes;
     auto parts = std::vector<CrashReport>();
     for (const auto &it : report.requests) {
         if (parts.empty() || parts.back().requests.size() >= perMessage)
@@ -83,13 +83,13 @@
     return parts;
 }
 
-auto splitRecords(const Records &records, std::size_t mostBytes) -> std::vector<Records>
+auto splitRecords(const Records &records, std::size_t maxBytes) -> std::vector<Records>
 {
     auto parts = std::vector<Records>();
     auto bytes = std::size_t{0};
     for (const auto &it : records.items) {
         const auto size = maxItemBytes(it.crashes.size());
-        if (parts.empty() || bytes + size > mostBytes) {
+        if (parts.empty() || bytes + size > maxBytes) {
             parts.push_back({records.shouldForward, {}});
             bytes = MaxFrameBytes;
         }
--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -40,7 +40,7 @@
     auto &record = m_records[request];
     const auto before = record.unclearedCount();
     record.didCrashAt(now);
-    if (!record.add({crash, false}, m_settings.mostCrashesOfOne))
+    if (!record.add({crash, false}, m_settings.maxCrashesPerRequest))
         return false;
     reportChange(request, before, record.unclearedCount(), isOwn);
     return true;
@@ -50,18 +50,18 @@
                                    std::uint32_t after, bool isOwn) -> void
 {
     const auto crosses = [&](std::uint32_t limit) { return before < limit && after >= limit; };
-    if (crosses(m_settings.crashesToRefuse)
-        || (after > before && before >= m_settings.crashesToRefuse))
+    if (crosses(m_settings.refuseThreshold)
+        || (after > before && before >= m_settings.refuseThreshold))
         m_events.push_back({QuarantineChange::Refused, request, after, isOwn});
-    else if (crosses(m_settings.crashesToTrial))
+    else if (crosses(m_settings.suspectThreshold))
         m_events.push_back({QuarantineChange::Suspected, request, after, isOwn});
-    else if (before >= m_settings.crashesToTrial && after < m_settings.crashesToTrial)
+    else if (before >= m_settings.suspectThreshold && after < m_settings.suspectThreshold)
         m_events.push_back({QuarantineChange::Cleared, request, before, isOwn});
 }
 
 auto QuarantineState::didAnswer(const RequestFingerprint &request, TimePoint now) -> void
 {
-    if (m_recentAnswers.size() >= m_settings.mostRecords)
+    if (m_recentAnswers.size() >= m_settings.maxRecords)
         m_recentAnswers.clear();
     m_recentAnswers.insert_or_assign(request, now);
     if (m_records.empty())
@@ -75,7 +75,7 @@
         -> bool
 {
     const auto it = m_recentAnswers.find(request);
-    return it != m_recentAnswers.end() && now - it->second < m_settings.answerMemory;
+    return it != m_recentAnswers.end() && now - it->second < m_settings.recentAnswerTime;
 }
 
 auto QuarantineState::release(std::string_view name, TimePoint now) -> std::size_t
@@ -98,9 +98,9 @@
     reportChange(request, before, 0, true);
     m_unsentClearances.push_back(request);
     if (!m_clearancesDue)
-        m_clearancesDue = now + m_settings.answersPause;
+        m_clearancesDue = now + m_settings.clearanceDelay;
     // The other nodes refuse or delay the request until they receive this.
-    if (before >= m_settings.crashesToTrial)
+    if (before >= m_settings.suspectThreshold)
         sendClearances(now);
     return true;
 }
@@ -114,9 +114,9 @@
     if (it == m_records.end() || !isRestricted(it->second))
         return {};
     const auto n = it->second.unclearedCount();
-    if (n < m_settings.crashesToRefuse)
+    if (n < m_settings.refuseThreshold)
         return {QuarantineStatus::Suspected, Duration::zero()};
-    const auto until = it->second.lastCrash() + m_settings.holdAfter(n);
+    const auto until = it->second.lastCrash() + m_settings.refusalTimeAfter(n);
     if (now < until)
         return {QuarantineStatus::Refused, until - now};
     // Only one node runs the request again: if all did, each could lose a backend server.
@@ -127,7 +127,7 @@
 
 auto QuarantineState::isRestricted(const CrashRecord &record) const -> bool
 {
-    return record.unclearedCount() >= m_settings.crashesToTrial;
+    return record.unclearedCount() >= m_settings.suspectThreshold;
 }
 
 /// Returns whether this node is the one that runs a refused request again. It has the highest random weight (Thaler and
@@ -183,20 +183,20 @@
         if (hasMoreThan(it))
             missing.items.push_back(itemOf(it.request, m_records.at(it.request), now));
     }
-    sendRecords({from}, missing, m_settings.recordDatagrams);
+    sendRecords({from}, missing, m_settings.maxDatagramsPerDigest);
     if (hasChanged && records.shouldForward)
         send(pickPeers(), records);
 }
 
 auto QuarantineState::mergeItem(const Records::Item &item, TimePoint now) -> bool
 {
-    if (item.age >= 2 * m_settings.longestHold)
+    if (item.age >= 2 * m_settings.maxRefusalTime)
         return false;
     auto &record = m_records[item.request];
     const auto before = record.unclearedCount();
     auto hasChanged = false;
     for (const auto &it : item.crashes)
-        hasChanged = record.add(it, m_settings.mostCrashesOfOne) || hasChanged;
+        hasChanged = record.add(it, m_settings.maxCrashesPerRequest) || hasChanged;
     record.didCrashAt(now - item.age);
     reportChange(item.request, before, record.unclearedCount(), false);
     return hasChanged;
@@ -218,12 +218,12 @@
 
 auto QuarantineState::tick(TimePoint now) -> void
 {
-    if (now - m_lastTick > m_settings.standstill)
+    if (now - m_lastTick > m_settings.maxTickGap)
         m_catchUpUntil = now + m_settings.catchUpTime;
     m_lastTick = now;
     removeExpired(now);
     std::erase_if(m_recentAnswers,
-                  [&](const auto &it) { return now - it.second >= m_settings.answerMemory; });
+                  [&](const auto &it) { return now - it.second >= m_settings.recentAnswerTime; });
     if (m_clearancesDue && now >= *m_clearancesDue)
         sendClearances(now);
     if (now >= m_nextDigest)
@@ -273,7 +273,7 @@
     auto records = Records();
     for (auto &it : restricted)
         records.items.push_back(std::move(it.second));
-    sendRecords({to}, records, m_settings.recordDatagrams);
+    sendRecords({to}, records, m_settings.maxDatagramsPerDigest);
 }
 
 auto QuarantineState::sendCrashReport(CrashId crash, std::vector<RequestFingerprint> requests)
@@ -281,15 +281,15 @@
 {
     const auto peers = pickPeers();
     const auto report = CrashReport{crash, !picksAllPeers(), std::move(requests)};
-    for (const auto &it : splitCrashReport(report, m_settings.mostPayloadBytes))
+    for (const auto &it : splitCrashReport(report, m_settings.maxPayloadBytes))
         send(peers, it);
 }
 
 auto QuarantineState::sendRecords(const std::vector<NodeId> &to, const Records &records,
-                                  std::size_t mostDatagrams) -> void
+                                  std::size_t maxDatagrams) -> void
 {
-    auto parts = splitRecords(records, m_settings.mostPayloadBytes);
-    parts.resize(std::min(parts.size(), mostDatagrams));
+    auto parts = splitRecords(records, m_settings.maxPayloadBytes);
+    parts.resize(std::min(parts.size(), maxDatagrams));
     for (const auto &it : parts)
         send(to, it);
 }
@@ -333,10 +333,10 @@
 {
     std::erase_if(m_records, [&](const auto &it) {
         const auto &record = it.second;
-        const auto isRefused = record.unclearedCount() >= m_settings.crashesToRefuse;
+        const auto isRefused = record.unclearedCount() >= m_settings.refuseThreshold;
         // A refused request is recorded beyond the time of its refusal, because it may run again then. If its crashes were
         // removed by that time, more servers would have to crash before it is refused again.
-        const auto lifetime = isRefused ? 2 * m_settings.holdAfter(record.unclearedCount())
+        const auto lifetime = isRefused ? 2 * m_settings.refusalTimeAfter(record.unclearedCount())
                                         : m_settings.suspicionTime;
         return now - record.lastCrash() >= lifetime;
     });
@@ -345,12 +345,12 @@
 /// Removes surplus records: those with the fewest crashes and, among these, those with the oldest crash.
 auto QuarantineState::removeSurplus() -> void
 {
-    if (m_records.size() <= m_settings.mostRecords)
+    if (m_records.size() <= m_settings.maxRecords)
         return;
     auto ranks = std::vector<std::tuple<std::uint32_t, TimePoint, RequestFingerprint>>();
     for (const auto &[request, record] : m_records)
         ranks.emplace_back(record.unclearedCount(), record.lastCrash(), request);
-    const auto excess = static_cast<std::ptrdiff_t>(m_records.size() - m_settings.mostRecords);
+    const auto excess = static_cast<std::ptrdiff_t>(m_records.size() - m_settings.maxRecords);
     std::nth_element(ranks.begin(), ranks.begin() + excess, ranks.end());
     for (auto it = ranks.begin(); it != ranks.begin() + excess; ++it)
         m_records.erase(std::get<RequestFingerprint>(*it));
--- a/tests/quarantine/TestQuarantineFleet.cpp
+++ b/tests/quarantine/TestQuarantineFleet.cpp
@@ -216,7 +216,7 @@
             ran.push_back(requestOf(request++));
         state.didCrash(ran, now += std::chrono::milliseconds(10));
     }
-    cr_assert_eq(state.size(), QuarantineSettings().mostRecords);
+    cr_assert_eq(state.size(), QuarantineSettings().maxRecords);
     cr_assert(state.decide(poison, now).status == QuarantineStatus::Refused);
     now += std::chrono::hours(3);
     state.tick(now);
@@ -230,7 +230,7 @@
     auto state = stateOf("a", now);
     state.setPeers({});
     const auto settings = QuarantineSettings();
-    auto expected = settings.firstHold;
+    auto expected = settings.initialRefusalTime;
     for (auto n = 0; n < 2; ++n)
         state.didCrash({requestOf(1)}, now);
     for (auto n = 0; n < 20; ++n) {
@@ -238,7 +238,7 @@
         const auto decision = state.decide(requestOf(1), now);
         cr_assert(decision.status == QuarantineStatus::Refused);
         cr_assert_eq(decision.retryAfter.count(), expected.count(), "crash %d", n);
-        expected = std::min(2 * expected, settings.longestHold);
+        expected = std::min(2 * expected, settings.maxRefusalTime);
         now += decision.retryAfter;
         state.tick(now);
         cr_assert(state.decide(requestOf(1), now).status == QuarantineStatus::Suspected);
--- a/tests/quarantine/TestQuarantineMessages.cpp
+++ b/tests/quarantine/TestQuarantineMessages.cpp
@@ -36,7 +36,7 @@
 
 Test(QuarantineMessages, longMessagesAreSplitWithinTheLimit)
 {
-    static constexpr auto MostBytes = std::size_t{1'200};
+    static constexpr auto MaxBytes = std::size_t{1'200};
     auto report = CrashReport{~std::uint64_t{0}, true, {}};
     auto records = Records{true, {}};
     for (auto n = std::uint64_t{0}; n < 200; ++n) {
@@ -47,22 +47,22 @@
         records.items.push_back(std::move(item));
     }
     auto requests = std::vector<RequestFingerprint>();
-    for (const auto &it : splitCrashReport(report, MostBytes)) {
-        cr_expect_leq(writeMessage(it).size(), MostBytes);
+    for (const auto &it : splitCrashReport(report, MaxBytes)) {
+        cr_expect_leq(writeMessage(it).size(), MaxBytes);
         cr_expect(it.crash == report.crash && it.shouldForward);
         requests.insert(requests.end(), it.requests.begin(), it.requests.end());
     }
     cr_expect_eq(requests, report.requests);
     auto items = std::vector<RequestFingerprint>();
-    for (const auto &it : splitRecords(records, MostBytes)) {
-        cr_expect_leq(writeMessage(it).size(), MostBytes);
+    for (const auto &it : splitRecords(records, MaxBytes)) {
+        cr_expect_leq(writeMessage(it).size(), MaxBytes);
         cr_expect(it.shouldForward);
         for (const auto &item : it.items)
             items.push_back(item.request);
     }
     cr_expect_eq(items, report.requests);
-    cr_expect(splitCrashReport({}, MostBytes).empty());
-    cr_expect(splitRecords({}, MostBytes).empty());
+    cr_expect(splitCrashReport({}, MaxBytes).empty());
+    cr_expect(splitRecords({}, MaxBytes).empty());
 }
 
 Test(QuarantineMessages, malformedMessagesAreRejected)
