--- a/include/stairspur/quarantine/QuarantineState.h
+++ b/include/stairspur/quarantine/QuarantineState.h
@@ -43,7 +43,7 @@
     QuarantineChange change = QuarantineChange::Suspected;
     RequestFingerprint request;
     std::uint32_t crashes = 0;
-    bool isOwn = false; ///< Whether this node's gate caused the change; otherwise, a peer did.
+    bool isLocal = false; ///< Whether this node's gate caused the change; otherwise, a peer did.
 };
 
 /// A request that is suspected or refused, for operators.
@@ -113,7 +113,7 @@
     [[nodiscard]] auto size() const -> std::size_t { return m_records.size(); }
 
 private:
-    auto recordCrash(const RequestFingerprint &request, CrashId crash, TimePoint now, bool isOwn)
+    auto recordCrash(const RequestFingerprint &request, CrashId crash, TimePoint now, bool isLocal)
             -> bool;
     auto mergeItem(const Records::Item &item, TimePoint now) -> bool;
     auto clearRequest(const RequestFingerprint &request, CrashRecord &record, TimePoint now)
@@ -121,7 +121,7 @@
     [[nodiscard]] auto wasRecentlyAnswered(const RequestFingerprint &request, TimePoint now) const
             -> bool;
     auto reportChange(const RequestFingerprint &request, std::uint32_t before, std::uint32_t after,
-                      bool isOwn) -> void;
+                      bool isLocal) -> void;
     auto receiveCrashReport(CrashReport news, TimePoint now) -> void;
     auto receiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void;
     auto receiveRecords(const NodeId &from, Records records, TimePoint now) -> void;
--- a/source/node/QuarantineKeeper.cpp
+++ b/source/node/QuarantineKeeper.cpp
@@ -174,8 +174,8 @@
             .add("change", event.change)
             .add("request", event.request.name())
             .add("crashes", event.crashes)
-            .add("own", event.isOwn);
-    if (!m_save || !event.isOwn)
+            .add("own", event.isLocal);
+    if (!m_save || !event.isLocal)
         return;
     if (event.change == QuarantineChange::Refused)
         m_save(event.request.name(), m_state.save(event.request, monotonicNow()));
--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -35,28 +35,28 @@
 }
 
 auto QuarantineState::recordCrash(const RequestFingerprint &request, CrashId crash, TimePoint now,
-                                  bool isOwn) -> bool
+                                  bool isLocal) -> bool
 {
     auto &record = m_records[request];
     const auto before = record.unclearedCount();
     record.didCrashAt(now);
     if (!record.add({crash, false}, m_settings.maxCrashesPerRequest))
         return false;
-    reportChange(request, before, record.unclearedCount(), isOwn);
+    reportChange(request, before, record.unclearedCount(), isLocal);
     return true;
 }
 
 auto QuarantineState::reportChange(const RequestFingerprint &request, std::uint32_t before,
-                                   std::uint32_t after, bool isOwn) -> void
+                                   std::uint32_t after, bool isLocal) -> void
 {
     const auto crosses = [&](std::uint32_t limit) { return before < limit && after >= limit; };
     if (crosses(m_settings.refuseThreshold)
         || (after > before && before >= m_settings.refuseThreshold))
-        m_events.push_back({QuarantineChange::Refused, request, after, isOwn});
+        m_events.push_back({QuarantineChange::Refused, request, after, isLocal});
     else if (crosses(m_settings.suspectThreshold))
-        m_events.push_back({QuarantineChange::Suspected, request, after, isOwn});
+        m_events.push_back({QuarantineChange::Suspected, request, after, isLocal});
     else if (before >= m_settings.suspectThreshold && after < m_settings.suspectThreshold)
-        m_events.push_back({QuarantineChange::Cleared, request, before, isOwn});
+        m_events.push_back({QuarantineChange::Cleared, request, before, isLocal});
 }
 
 auto QuarantineState::didAnswer(const RequestFingerprint &request, TimePoint now) -> void
