--- a/include/stairspur/quarantine/CrashDetector.h
+++ b/include/stairspur/quarantine/CrashDetector.h
@@ -29,8 +29,8 @@
     /// Records that the call ended in another way: it was cancelled, timed out, or never connected.
     auto didEndOtherwise(CallId id) -> void;
 
-    /// Records that the server's port refuses connections: the server crashed while all running and all broken calls were
-    /// at it. Returns their requests, sorted and each once, and removes all calls.
+    /// Records that the server's port refuses connections: the server has crashed, and every running or broken call may have
+    /// caused it. Returns their requests, sorted and each once, and removes all calls.
     auto takeSuspects() -> std::vector<RequestFingerprint>;
     /// Records that another process instance has replaced the server, or that the server has left. If connections of calls
     /// broke before and the replacement was not announced (`wasExpected` is false), the server crashed: returns the requests
@@ -43,17 +43,17 @@
         RequestFingerprint fingerprint;
         std::uint64_t breaksBefore = 0; ///< Value of m_breaks when the call was sent.
     };
-    struct Break
+    struct BrokenCall
     {
         RequestFingerprint fingerprint;
-        std::uint64_t ordinal = 0;
+        std::uint64_t ordinal = 0; ///< Value of m_breaks that counts this one.
     };
 
     auto clear() -> void;
 
     std::unordered_map<CallId, Call> m_calls;
-    std::vector<Break> m_broken;
-    std::uint64_t m_breaks = 0;
+    std::vector<BrokenCall> m_broken;
+    std::uint64_t m_breaks = 0; ///< Number of connections that broke.
 };
 
 } // namespace stairspur::quarantine
--- a/include/stairspur/quarantine/Messages.h
+++ b/include/stairspur/quarantine/Messages.h
@@ -18,7 +18,7 @@
 struct CrashReport
 {
     CrashId crash = 0;
-    /// Whether a receiver to which any of it is new forwards the message; set when it is not sent to every peer.
+    /// Whether a receiver forwards the message if any of its content is new; set when it is not sent to every peer.
     bool shouldForward = false;
     std::vector<RequestFingerprint> requests;
 };
@@ -27,8 +27,8 @@
 struct Digest
 {
     std::uint64_t hash = 0;
-    bool isReply =
-            false; ///< Whether it replies to a digest; the receiver of a reply sends no digest back.
+    /// Whether it replies to a digest; the receiver of a reply sends no digest back.
+    bool isReply = false;
 };
 
 /// Records of single requests, which the receiver merges with its own.
--- a/include/stairspur/quarantine/QuarantineSettings.h
+++ b/include/stairspur/quarantine/QuarantineSettings.h
@@ -56,7 +56,7 @@
     /// Time between two digests during catchUpTime. If all nodes of a service but one start at once, all of them have the
     /// records of that one within three seconds; with one digest a second, only 12 of 15 have.
     Duration catchUpInterval{250'000};
-    /// Gap between two ticks from which on the process is taken to have been suspended: three times the longest regular time
+    /// Gap between two ticks above which the process is taken to have been suspended: three times the longest regular time
     /// between two ticks.
     Duration maxTickGap{3'000'000};
     /// Delay with which complete responses that clear requests of a single crash are sent to peers in one batch. Those that
--- a/include/stairspur/quarantine/QuarantineState.h
+++ b/include/stairspur/quarantine/QuarantineState.h
@@ -18,9 +18,12 @@
 
 /// Whether a gate lets a request run.
 enum class QuarantineStatus {
-    Clear,     ///< The request runs without restriction.
-    Suspected, ///< Suspected: it runs while no other suspected request runs at the same backend server.
-    Refused, ///< The request is not sent to a backend server.
+    /// The request runs without restriction.
+    Clear,
+    /// The request runs while no other suspected request runs at the same backend server.
+    Suspected,
+    /// The request is not sent to a backend server.
+    Refused,
 };
 
 /// What a gate does with a request.
@@ -86,7 +89,7 @@
     auto didAnswer(const RequestFingerprint &request, TimePoint now) -> void;
     /// Clears all suspected or refused requests of this name on behalf of an operator. Returns their number.
     auto release(std::string_view name, TimePoint now) -> std::size_t;
-    /// Returns whether the request may run now.
+    /// Returns what the gate does with the request now.
     [[nodiscard]] auto decide(const RequestFingerprint &request, TimePoint now) const
             -> QuarantineDecision;
 
@@ -122,7 +125,7 @@
             -> bool;
     auto reportChange(const RequestFingerprint &request, std::uint32_t before, std::uint32_t after,
                       bool isLocal) -> void;
-    auto receiveCrashReport(CrashReport news, TimePoint now) -> void;
+    auto receiveCrashReport(CrashReport report, TimePoint now) -> void;
     auto receiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void;
     auto receiveRecords(const NodeId &from, Records records, TimePoint now) -> void;
     auto sendDigest(TimePoint now) -> void;
@@ -141,6 +144,7 @@
     [[nodiscard]] auto digest() const -> std::uint64_t;
     [[nodiscard]] auto itemOf(const RequestFingerprint &request, const CrashRecord &record,
                               TimePoint now) const -> Records::Item;
+    /// Returns whether the record of the item's request has a crash, or a clearance, that the item lacks.
     [[nodiscard]] auto hasMoreThan(const Records::Item &item) const -> bool;
     /// Returns the peers to which a change is sent: all of them, or a random sample of fanOut.
     auto pickPeers() -> std::vector<NodeId>;
--- a/include/stairspur/quarantine/RequestFingerprint.h
+++ b/include/stairspur/quarantine/RequestFingerprint.h
@@ -16,8 +16,8 @@
 struct RequestIdentity
 {
     std::string_view service;
-    std::string_view
-            caller; ///< Included so that no caller can get another caller's request suspected.
+    /// Included so that no caller can get another caller's request suspected.
+    std::string_view caller;
     std::string_view method;
     std::string_view host;
     std::string_view target; ///< Path with query string.
--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -8,8 +8,8 @@
 
 namespace stairspur::quarantine {
 
-/// Retry delay that is returned for a request which another node may run again now, until that node has the result.
-static constexpr auto TrialRetryAfter = Duration{1'000'000};
+/// Retry delay of a refused request after its refusal time, on all nodes but the one that runs it again.
+static constexpr auto OtherNodeRetryAfter = Duration{1'000'000};
 
 QuarantineState::QuarantineState(QuarantineSettings settings, std::uint64_t seed, TimePoint now)
     : m_settings(std::move(settings))
@@ -122,7 +122,7 @@
     // Only one node runs the request again: if all did, each could lose a backend server.
     if (isChosenToRetry(request))
         return {QuarantineStatus::Suspected, Duration::zero()};
-    return {QuarantineStatus::Refused, TrialRetryAfter};
+    return {QuarantineStatus::Refused, OtherNodeRetryAfter};
 }
 
 auto QuarantineState::isRestricted(const CrashRecord &record) const -> bool
@@ -202,7 +202,6 @@
     return hasChanged;
 }
 
-/// Returns whether this node has recorded a crash of the request that the item lacks, or another value of isCleared.
 auto QuarantineState::hasMoreThan(const Records::Item &item) const -> bool
 {
     const auto it = m_records.find(item.request);
--- a/tests/quarantine/TestQuarantineMessages.cpp
+++ b/tests/quarantine/TestQuarantineMessages.cpp
@@ -3,7 +3,7 @@
 
 #include "VirtualFleet.h"
 
-// After the standard headers, whose words its macros take.
+// Included after the standard headers, because its macros replace words that they use.
 #include <criterion/criterion.h>
 
 using namespace stairspur;
--- a/tests/quarantine/VirtualFleet.h
+++ b/tests/quarantine/VirtualFleet.h
@@ -72,27 +72,27 @@
     {
         auto &it = m_hosts[host];
         const auto status = it.state->decide(request, m_now).status;
-        const auto hasTurn = status != QuarantineStatus::Suspected || it.onTrial.empty();
+        const auto hasTurn = status != QuarantineStatus::Suspected || it.suspected.empty();
         if (!it.isUp || status == QuarantineStatus::Refused || !hasTurn)
             return false;
         ++sends[request];
         sendTimes[request].push_back(m_now);
         it.running.insert(request);
         if (status == QuarantineStatus::Suspected)
-            it.onTrial.insert(request);
+            it.suspected.insert(request);
         after(RunTime, [this, host, request, incarnation = it.incarnation] {
             finish(host, request, incarnation);
         });
         return true;
     }
 
-    /// Crashes the backend server of a host while its running requests run.
+    /// Crashes the backend server of a host under all requests that run there.
     auto crash(std::size_t host) -> void
     {
         auto &it = m_hosts[host];
         const auto ran = std::vector<RequestFingerprint>(it.running.begin(), it.running.end());
         it.running.clear();
-        it.onTrial.clear();
+        it.suspected.clear();
         it.isUp = false;
         ++it.incarnation;
         for (const auto &request : ran)
@@ -163,7 +163,7 @@
     {
         std::unique_ptr<QuarantineState> state;
         std::multiset<RequestFingerprint> running;
-        std::set<RequestFingerprint> onTrial;
+        std::set<RequestFingerprint> suspected;
         bool isUp = true;
         int incarnation = 0;
         TimePoint nextTick;
@@ -198,7 +198,7 @@
         if (poison.contains(request))
             return crash(host);
         it.running.erase(it.running.find(request));
-        it.onTrial.erase(request);
+        it.suspected.erase(request);
         ++answers[request];
         it.state->didAnswer(request, m_now);
         flush(host);
