--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -248,14 +248,14 @@
 
 auto QuarantineState::sendClearances(TimePoint now) -> void
 {
-    auto answers = Records{!picksAllPeers(), {}};
+    auto clearances = Records{!picksAllPeers(), {}};
     for (const auto &it : std::exchange(m_unsentClearances, {})) {
         const auto record = m_records.find(it);
         if (record != m_records.end())
-            answers.items.push_back(itemOf(it, record->second, now));
+            clearances.items.push_back(itemOf(it, record->second, now));
     }
     m_clearancesDue.reset();
-    sendRecords(pickPeers(), answers, answers.items.size());
+    sendRecords(pickPeers(), clearances, clearances.items.size());
 }
 
 /// Sends the suspected and refused requests, those with the most crashes first, because the datagrams may not hold all.
--- a/tests/measure/quarantine/main.cpp
+++ b/tests/measure/quarantine/main.cpp
@@ -7,11 +7,11 @@
 using namespace stairspur;
 using namespace stairspur::quarantine;
 
-/// Requests that run at one backend server when it crashes. At 93 calls a second of 0.1 s each there are nine; users saw 20 to
-/// 60.
-static constexpr auto Suspects = std::uint64_t{60};
+/// Number of requests that run at one backend server when it crashes. At 93 calls a second of 0.1 s each there are nine; users
+/// saw 20 to 60.
+static constexpr auto RunningRequests = std::uint64_t{60};
 
-/// Measures the messages after one crash of which no request is cleared.
+/// Measures the messages after one crash whose requests are all answered later.
 static auto measureCrash(std::size_t hosts) -> void
 {
     auto fleet = VirtualFleet(hosts, 1);
@@ -20,7 +20,7 @@
     const auto idleBefore = fleet.bytes;
     fleet.runFor(std::chrono::seconds(60));
     const auto idle = fleet.bytes - idleBefore;
-    for (auto n = std::uint64_t{0}; n < Suspects; ++n)
+    for (auto n = std::uint64_t{0}; n < RunningRequests; ++n)
         fleet.offerTo(0, requestOf(n));
     const auto before = fleet.bytes;
     fleet.crash(0);
@@ -30,12 +30,12 @@
             "%5zu hosts: idle %.1f B/s a node; one crash with %llu suspects, all of them answered "
             "later: %.0f B sent a node\n",
             hosts, static_cast<double>(idle) / 60 / nodes,
-            static_cast<unsigned long long>(Suspects),
+            static_cast<unsigned long long>(RunningRequests),
             static_cast<double>(fleet.bytes - before) / nodes);
 }
 
 /// Measures how long it takes until all nodes refuse a request, and the messages while it is recorded.
-static auto measureVerdict(std::size_t hosts) -> void
+static auto measureRefusal(std::size_t hosts) -> void
 {
     auto fleet = VirtualFleet(hosts, 1);
     fleet.loss = 0;
@@ -103,7 +103,7 @@
     for (const auto hosts : {5, 27, 200, 1000})
         measureCrash(static_cast<std::size_t>(hosts));
     for (const auto hosts : {5, 27, 200, 1000})
-        measureVerdict(static_cast<std::size_t>(hosts));
+        measureRefusal(static_cast<std::size_t>(hosts));
     measureCalls();
     return 0;
 }
