--- a/source/node/QuarantineKeeper.cpp
+++ b/source/node/QuarantineKeeper.cpp
@@ -45,9 +45,10 @@
     scheduleTick(monotonicNow() + TickInterval);
 }
 
-auto QuarantineKeeper::judge(const RequestFingerprint &request) const -> quarantine::Judgement
+auto QuarantineKeeper::decide(const RequestFingerprint &request) const
+        -> quarantine::QuarantineDecision
 {
-    return m_state.judge(request, monotonicNow());
+    return m_state.decide(request, monotonicNow());
 }
 
 auto QuarantineKeeper::didCrash(const std::vector<RequestFingerprint> &requests) -> void
@@ -173,12 +174,12 @@
             .add("change", event.change)
             .add("request", event.request.name())
             .add("crashes", event.crashes)
-            .add("own", event.isOwn);
-    if (!m_save || !event.isOwn)
+            .add("own", event.isLocal);
+    if (!m_save || !event.isLocal)
         return;
     if (event.change == QuarantineChange::Refused)
         m_save(event.request.name(), m_state.save(event.request, monotonicNow()));
-    if (event.change == QuarantineChange::Acquitted)
+    if (event.change == QuarantineChange::Cleared)
         m_save(event.request.name(), {});
 }
 
--- a/source/quarantine/Messages.cpp
+++ b/source/quarantine/Messages.cpp
@@ -11,14 +11,15 @@
 
 using Json = nlohmann::json;
 
-/// Of the three messages, first in each.
+/// Kind of a message; the first element of each encoded message.
 enum class Kind : std::uint8_t {
-    CrashNews = 1,
+    CrashReport = 1,
     Digest = 2,
     Records = 3,
 };
 
-static constexpr auto MostKind = std::uint64_t{255};
+/// The largest value of the underlying type of Kind; larger numbers are read as this one.
+static constexpr auto MaxKind = std::uint64_t{255};
 
 static auto toJson(const RequestFingerprint &it) -> Json
 {
@@ -27,7 +28,7 @@
 
 static auto toJson(const CrashRecord::Crash &it) -> Json
 {
-    return Json::array({it.id, it.isAcquitted});
+    return Json::array({it.id, it.isCleared});
 }
 
 template <typename Item>
@@ -45,9 +46,9 @@
             {toJson(it.request), toJson(it.crashes), static_cast<std::uint64_t>(it.age.count())});
 }
 
-static auto toJson(const CrashNews &it) -> Json
+static auto toJson(const CrashReport &it) -> Json
 {
-    return Json::array({Kind::CrashNews, it.crash, it.mayPassOn, toJson(it.requests)});
+    return Json::array({Kind::CrashReport, it.crash, it.shouldForward, toJson(it.requests)});
 }
 
 static auto toJson(const Digest &it) -> Json
@@ -57,39 +58,40 @@
 
 static auto toJson(const Records &it) -> Json
 {
-    return Json::array({Kind::Records, it.mayPassOn, toJson(it.items)});
+    return Json::array({Kind::Records, it.shouldForward, toJson(it.items)});
 }
 
-/// Bytes of one request in CrashNews, and of one item in Records with `crashes` crashes, at most.
-static constexpr auto BytesOfRequest = std::size_t{20};
-static constexpr auto bytesOfItem(std::size_t crashes) -> std::size_t
+/// Upper bound of the encoded size of one request in CrashReport, in bytes.
+static constexpr auto MaxRequestBytes = std::size_t{20};
+/// Returns an upper bound of the encoded size of one item in Records with `crashes` crashes, in bytes.
+static constexpr auto maxItemBytes(std::size_t crashes) -> std::size_t
 {
     return 40 + 12 * crashes;
 }
-/// Bytes of a message without requests and items, at most.
-static constexpr auto BytesOfFrame = std::size_t{32};
+/// Upper bound of the encoded size of a message without its requests or items, in bytes.
+static constexpr auto MaxFrameBytes = std::size_t{32};
 
-auto splitNews(const CrashNews &news, std::size_t mostBytes) -> std::vector<CrashNews>
+auto splitCrashReport(const CrashReport &report, std::size_t maxBytes) -> std::vector<CrashReport>
 {
-    const auto perMessage = (mostBytes - BytesOfFrame) / BytesOfRequest;
-    auto parts = std::vector<CrashNews>();
-    for (const auto &it : news.requests) {
+    const auto perMessage = (maxBytes - MaxFrameBytes) / MaxRequestBytes;
+    auto parts = std::vector<CrashReport>();
+    for (const auto &it : report.requests) {
         if (parts.empty() || parts.back().requests.size() >= perMessage)
-            parts.push_back({news.crash, news.mayPassOn, {}});
+            parts.push_back({report.crash, report.shouldForward, {}});
         parts.back().requests.push_back(it);
     }
     return parts;
 }
 
-auto splitRecords(const Records &records, std::size_t mostBytes) -> std::vector<Records>
+auto splitRecords(const Records &records, std::size_t maxBytes) -> std::vector<Records>
 {
     auto parts = std::vector<Records>();
     auto bytes = std::size_t{0};
     for (const auto &it : records.items) {
-        const auto size = bytesOfItem(it.crashes.size());
-        if (parts.empty() || bytes + size > mostBytes) {
-            parts.push_back({records.mayPassOn, {}});
-            bytes = BytesOfFrame;
+        const auto size = maxItemBytes(it.crashes.size());
+        if (parts.empty() || bytes + size > maxBytes) {
+            parts.push_back({records.shouldForward, {}});
+            bytes = MaxFrameBytes;
         }
         bytes += size;
         parts.back().items.push_back(it);
@@ -102,12 +104,13 @@
     return toCbor(std::visit([](const auto &it) { return toJson(it); }, message));
 }
 
-/// The library would convert a fraction, and a negative number, as C++ does.
+/// Throws InputError on a fraction or a negative number, which the library would silently convert as C++ does.
 static auto readNumber(const Json &json) -> std::uint64_t
 {
     if (!json.is_number_unsigned())
-        throw InputError("a message of the quarantine has something else in place of a number",
-                         "let only nodes send to the peer port");
+        throw InputError(
+                "a quarantine message does not have an unsigned integer where one is required",
+                "allow only nodes to send to the peer port");
     return json.get<std::uint64_t>();
 }
 
@@ -116,58 +119,59 @@
     return {readNumber(json.at(0)), readNumber(json.at(1))};
 }
 
-static auto readCrashNews(const Json &json) -> CrashNews
+static auto readCrashReport(const Json &json) -> CrashReport
 {
-    auto news = CrashNews();
-    news.crash = readNumber(json.at(1));
-    news.mayPassOn = json.at(2).get<bool>();
+    auto report = CrashReport();
+    report.crash = readNumber(json.at(1));
+    report.shouldForward = json.at(2).get<bool>();
     for (const auto &it : json.at(3))
-        news.requests.push_back(readFingerprint(it));
-    return news;
+        report.requests.push_back(readFingerprint(it));
+    return report;
 }
 
 static auto readItem(const Json &json) -> Records::Item
 {
-    /// A day; more would overflow when it is taken from a time.
-    static constexpr auto MostAge = std::uint64_t{86'400'000'000};
+    /// One day, in microseconds. Subtracting a much larger age from a time point would overflow.
+    static constexpr auto MaxAge = std::uint64_t{86'400'000'000};
     auto item = Records::Item();
     item.request = readFingerprint(json.at(0));
     for (const auto &it : json.at(1))
         item.crashes.push_back({readNumber(it.at(0)), it.at(1).get<bool>()});
-    item.age = Duration{std::min(readNumber(json.at(2)), MostAge)};
+    item.age = Duration{std::min(readNumber(json.at(2)), MaxAge)};
     return item;
 }
 
 static auto readRecords(const Json &json) -> Records
 {
     auto records = Records();
-    records.mayPassOn = json.at(1).get<bool>();
+    records.shouldForward = json.at(1).get<bool>();
     for (const auto &it : json.at(2))
         records.items.push_back(readItem(it));
     return records;
 }
 
-static auto readKnownKind(const Json &json) -> Message
+/// Throws InputError if the kind is unknown.
+static auto readByKind(const Json &json) -> Message
 {
-    switch (static_cast<Kind>(std::min(readNumber(json.at(0)), MostKind))) {
-    case Kind::CrashNews:
-        return readCrashNews(json);
+    switch (static_cast<Kind>(std::min(readNumber(json.at(0)), MaxKind))) {
+    case Kind::CrashReport:
+        return readCrashReport(json);
     case Kind::Digest:
         return Digest{readNumber(json.at(1)), json.at(2).get<bool>()};
     case Kind::Records:
         return readRecords(json);
     }
-    throw InputError("a message of the quarantine of an unknown kind",
-                     "let all nodes run versions that know each other");
+    throw InputError("a quarantine message is of an unknown kind",
+                     "run compatible versions on all nodes");
 }
 
 auto readMessage(std::string_view bytes) -> Message
 {
     try {
-        return readKnownKind(fromCbor(bytes));
+        return readByKind(fromCbor(bytes));
     } catch (const Json::exception &error) {
-        throw InputError(std::string("no message of the quarantine: ") + error.what(),
-                         "let only nodes send to the peer port");
+        throw InputError(std::string("a quarantine message is malformed: ") + error.what(),
+                         "allow only nodes to send to the peer port");
     }
 }
 
--- a/source/quarantine/QuarantineState.cpp
+++ b/source/quarantine/QuarantineState.cpp
@@ -8,8 +8,8 @@
 
 namespace stairspur::quarantine {
 
-/// When to come back for the one node that may try the request again.
-static constexpr auto TrialRetryAfter = Duration{1'000'000};
+/// Retry delay of a refused request after its refusal time, on all nodes but the one that runs it again.
+static constexpr auto OtherNodeRetryAfter = Duration{1'000'000};
 
 QuarantineState::QuarantineState(QuarantineSettings settings, std::uint64_t seed, TimePoint now)
     : m_settings(std::move(settings))
@@ -25,112 +25,114 @@
     const auto crash = CrashId{m_random()};
     auto suspects = std::vector<RequestFingerprint>();
     for (const auto &it : requests) {
-        if (wasJustAnswered(it, now))
+        if (wasRecentlyAnswered(it, now))
             continue;
-        takeCrash(it, crash, now, true);
+        recordCrash(it, crash, now, true);
         suspects.push_back(it);
     }
-    sendNews(crash, std::move(suspects));
-    makeRoom();
+    sendCrashReport(crash, std::move(suspects));
+    removeSurplus();
 }
 
-auto QuarantineState::takeCrash(const RequestFingerprint &request, CrashId crash, TimePoint now,
-                                bool isOwn) -> bool
+auto QuarantineState::recordCrash(const RequestFingerprint &request, CrashId crash, TimePoint now,
+                                  bool isLocal) -> bool
 {
     auto &record = m_records[request];
-    const auto before = record.count();
+    const auto before = record.unclearedCount();
     record.didCrashAt(now);
-    if (!record.add({crash, false}, m_settings.mostCrashesOfOne))
+    if (!record.add({crash, false}, m_settings.maxCrashesPerRequest))
         return false;
-    noteStanding(request, before, record.count(), isOwn);
+    reportChange(request, before, record.unclearedCount(), isLocal);
     return true;
 }
 
-auto QuarantineState::noteStanding(const RequestFingerprint &request, std::uint32_t before,
-                                   std::uint32_t after, bool isOwn) -> void
+auto QuarantineState::reportChange(const RequestFingerprint &request, std::uint32_t before,
+                                   std::uint32_t after, bool isLocal) -> void
 {
     const auto crosses = [&](std::uint32_t limit) { return before < limit && after >= limit; };
-    if (crosses(m_settings.crashesToRefuse)
-        || (after > before && before >= m_settings.crashesToRefuse))
-        m_events.push_back({QuarantineChange::Refused, request, after, isOwn});
-    else if (crosses(m_settings.crashesToTrial))
-        m_events.push_back({QuarantineChange::OnTrial, request, after, isOwn});
-    else if (before >= m_settings.crashesToTrial && after < m_settings.crashesToTrial)
-        m_events.push_back({QuarantineChange::Acquitted, request, before, isOwn});
+    if (crosses(m_settings.refuseThreshold)
+        || (after > before && before >= m_settings.refuseThreshold))
+        m_events.push_back({QuarantineChange::Refused, request, after, isLocal});
+    else if (crosses(m_settings.suspectThreshold))
+        m_events.push_back({QuarantineChange::Suspected, request, after, isLocal});
+    else if (before >= m_settings.suspectThreshold && after < m_settings.suspectThreshold)
+        m_events.push_back({QuarantineChange::Cleared, request, before, isLocal});
 }
 
 auto QuarantineState::didAnswer(const RequestFingerprint &request, TimePoint now) -> void
 {
-    if (m_recentAnswers.size() >= m_settings.mostRecords)
+    if (m_recentAnswers.size() >= m_settings.maxRecords)
         m_recentAnswers.clear();
     m_recentAnswers.insert_or_assign(request, now);
     if (m_records.empty())
         return;
     const auto it = m_records.find(request);
     if (it != m_records.end())
-        acquit(request, it->second, now);
+        clearRequest(request, it->second, now);
 }
 
-auto QuarantineState::wasJustAnswered(const RequestFingerprint &request, TimePoint now) const
+auto QuarantineState::wasRecentlyAnswered(const RequestFingerprint &request, TimePoint now) const
         -> bool
 {
     const auto it = m_recentAnswers.find(request);
-    return it != m_recentAnswers.end() && now - it->second < m_settings.answerMemory;
+    return it != m_recentAnswers.end() && now - it->second < m_settings.recentAnswerTime;
 }
 
 auto QuarantineState::release(std::string_view name, TimePoint now) -> std::size_t
 {
     auto released = std::size_t{0};
     for (auto &[request, record] : m_records) {
-        const auto isMeant = isBinding(record) && request.name() == name;
-        if (isMeant && acquit(request, record, now))
+        const auto isSelected = isRestricted(record) && request.name() == name;
+        if (isSelected && clearRequest(request, record, now))
             ++released;
     }
     return released;
 }
 
-auto QuarantineState::acquit(const RequestFingerprint &request, CrashRecord &record, TimePoint now)
-        -> bool
+auto QuarantineState::clearRequest(const RequestFingerprint &request, CrashRecord &record,
+                                   TimePoint now) -> bool
 {
-    const auto before = record.count();
-    if (!record.acquit())
+    const auto before = record.unclearedCount();
+    if (!record.markCleared())
         return false;
-    noteStanding(request, before, 0, true);
-    m_answered.push_back(request);
-    if (!m_answersDue)
-        m_answersDue = now + m_settings.answersPause;
-    // Until the others know, they refuse it, or hold it back.
-    if (before >= m_settings.crashesToTrial)
-        sendAnswers(now);
+    reportChange(request, before, 0, true);
+    m_unsentClearances.push_back(request);
+    if (!m_clearancesDue)
+        m_clearancesDue = now + m_settings.clearanceDelay;
+    // The other nodes refuse or delay the request until they receive this.
+    if (before >= m_settings.suspectThreshold)
+        sendClearances(now);
     return true;
 }
 
-auto QuarantineState::judge(const RequestFingerprint &request, TimePoint now) const -> Judgement
+auto QuarantineState::decide(const RequestFingerprint &request, TimePoint now) const
+        -> QuarantineDecision
 {
     if (m_records.empty())
         return {};
     const auto it = m_records.find(request);
-    if (it == m_records.end() || !isBinding(it->second))
+    if (it == m_records.end() || !isRestricted(it->second))
         return {};
-    const auto n = it->second.count();
-    if (n < m_settings.crashesToRefuse)
-        return {Standing::OnTrial, Duration::zero()};
-    const auto until = it->second.lastCrash() + m_settings.holdAfter(n);
+    const auto n = it->second.unclearedCount();
+    if (n < m_settings.refuseThreshold)
+        return {QuarantineStatus::Suspected, Duration::zero()};
+    const auto until = it->second.lastCrash() + m_settings.refusalTimeAfter(n);
     if (now < until)
-        return {Standing::Refused, until - now};
-    // One node tries it: all of them at once would lose a backend server each.
-    if (ownsTrial(request))
-        return {Standing::OnTrial, Duration::zero()};
-    return {Standing::Refused, TrialRetryAfter};
+        return {QuarantineStatus::Refused, until - now};
+    // Only one node runs the request again: if all did, each could lose a backend server.
+    if (isChosenToRetry(request))
+        return {QuarantineStatus::Suspected, Duration::zero()};
+    return {QuarantineStatus::Refused, OtherNodeRetryAfter};
 }
 
-auto QuarantineState::isBinding(const CrashRecord &record) const -> bool
+auto QuarantineState::isRestricted(const CrashRecord &record) const -> bool
 {
-    return record.count() >= m_settings.crashesToTrial;
+    return record.unclearedCount() >= m_settings.suspectThreshold;
 }
 
-/// Highest random weight (Thaler and Ravishankar, 1998): nodes that know the same peers name the same one.
-auto QuarantineState::ownsTrial(const RequestFingerprint &request) const -> bool
+/// Returns whether this node is the one that runs a refused request again. It has the highest random weight (Thaler and
+/// Ravishankar, 1998), so that nodes with the same peers choose the same node.
+auto QuarantineState::isChosenToRetry(const RequestFingerprint &request) const -> bool
 {
     const auto weight = [&](const NodeId &node) { return hash64(node, request.low); };
     const auto own = weight(m_settings.node);
@@ -141,25 +143,25 @@
 auto QuarantineState::receive(const NodeId &from, std::string_view payload, TimePoint now) -> void
 {
     auto message = readMessage(payload);
-    if (auto *news = std::get_if<CrashNews>(&message))
-        receiveNews(std::move(*news), now);
+    if (auto *report = std::get_if<CrashReport>(&message))
+        receiveCrashReport(std::move(*report), now);
     else if (const auto *digest = std::get_if<Digest>(&message))
         receiveDigest(from, *digest, now);
     else if (auto *records = std::get_if<Records>(&message))
         receiveRecords(from, std::move(*records), now);
-    makeRoom();
+    removeSurplus();
 }
 
-auto QuarantineState::receiveNews(CrashNews news, TimePoint now) -> void
+auto QuarantineState::receiveCrashReport(CrashReport report, TimePoint now) -> void
 {
-    auto isNews = false;
-    for (const auto &it : news.requests) {
-        isNews = takeCrash(it, news.crash, now, false) || isNews;
-        if (wasJustAnswered(it, now))
-            acquit(it, m_records.at(it), now);
+    auto hasChanged = false;
+    for (const auto &it : report.requests) {
+        hasChanged = recordCrash(it, report.crash, now, false) || hasChanged;
+        if (wasRecentlyAnswered(it, now))
+            clearRequest(it, m_records.at(it), now);
     }
-    if (isNews && news.mayPassOn)
-        send(somePeers(), news);
+    if (hasChanged && report.shouldForward)
+        send(pickPeers(), report);
 }
 
 auto QuarantineState::receiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
@@ -167,63 +169,62 @@
     const auto own = this->digest();
     if (own == digest.hash)
         return;
-    sendBinding(from, now);
+    sendRestricted(from, now);
     if (!digest.isReply)
         send({from}, Digest{own, true});
 }
 
 auto QuarantineState::receiveRecords(const NodeId &from, Records records, TimePoint now) -> void
 {
-    auto isNews = false;
+    auto hasChanged = false;
     auto missing = Records();
     for (const auto &it : records.items) {
-        isNews = takeItem(it, now) || isNews;
-        if (knowsMoreThan(it))
+        hasChanged = mergeItem(it, now) || hasChanged;
+        if (hasMoreThan(it))
             missing.items.push_back(itemOf(it.request, m_records.at(it.request), now));
     }
-    sendRecords({from}, missing, m_settings.recordDatagrams);
-    if (isNews && records.mayPassOn)
-        send(somePeers(), records);
+    sendRecords({from}, missing, m_settings.maxDatagramsPerDigest);
+    if (hasChanged && records.shouldForward)
+        send(pickPeers(), records);
 }
 
-auto QuarantineState::takeItem(const Records::Item &item, TimePoint now) -> bool
+auto QuarantineState::mergeItem(const Records::Item &item, TimePoint now) -> bool
 {
-    if (item.age >= 2 * m_settings.longestHold)
+    if (item.age >= 2 * m_settings.maxRefusalTime)
         return false;
     auto &record = m_records[item.request];
-    const auto before = record.count();
-    auto isNews = false;
+    const auto before = record.unclearedCount();
+    auto hasChanged = false;
     for (const auto &it : item.crashes)
-        isNews = record.add(it, m_settings.mostCrashesOfOne) || isNews;
+        hasChanged = record.add(it, m_settings.maxCrashesPerRequest) || hasChanged;
     record.didCrashAt(now - item.age);
-    noteStanding(item.request, before, record.count(), false);
-    return isNews;
+    reportChange(item.request, before, record.unclearedCount(), false);
+    return hasChanged;
 }
 
-/// Crashes, or acquittals, that the sender of the item has not heard of.
-auto QuarantineState::knowsMoreThan(const Records::Item &item) const -> bool
+auto QuarantineState::hasMoreThan(const Records::Item &item) const -> bool
 {
     const auto it = m_records.find(item.request);
     if (it == m_records.end())
         return false;
-    const auto &known = it->second.crashes();
-    return std::any_of(known.begin(), known.end(), [&item](const auto &own) {
-        return std::none_of(item.crashes.begin(), item.crashes.end(), [&own](const auto &heard) {
-            return heard.id == own.id && heard.isAcquitted == own.isAcquitted;
+    const auto &recorded = it->second.crashes();
+    return std::any_of(recorded.begin(), recorded.end(), [&item](const auto &own) {
+        return std::none_of(item.crashes.begin(), item.crashes.end(), [&own](const auto &received) {
+            return received.id == own.id && received.isCleared == own.isCleared;
         });
     });
 }
 
 auto QuarantineState::tick(TimePoint now) -> void
 {
-    if (now - m_lastTick > m_settings.standstill)
+    if (now - m_lastTick > m_settings.maxTickGap)
         m_catchUpUntil = now + m_settings.catchUpTime;
     m_lastTick = now;
-    forget(now);
+    removeExpired(now);
     std::erase_if(m_recentAnswers,
-                  [&](const auto &it) { return now - it.second >= m_settings.answerMemory; });
-    if (m_answersDue && now >= *m_answersDue)
-        sendAnswers(now);
+                  [&](const auto &it) { return now - it.second >= m_settings.recentAnswerTime; });
+    if (m_clearancesDue && now >= *m_clearancesDue)
+        sendClearances(now);
     if (now >= m_nextDigest)
         sendDigest(now);
 }
@@ -231,8 +232,8 @@
 auto QuarantineState::nextDue() const -> std::optional<TimePoint>
 {
     if (m_lastTick >= m_catchUpUntil)
-        return m_answersDue;
-    return std::min(m_answersDue.value_or(m_nextDigest), m_nextDigest);
+        return m_clearancesDue;
+    return std::min(m_clearancesDue.value_or(m_nextDigest), m_nextDigest);
 }
 
 auto QuarantineState::sendDigest(TimePoint now) -> void
@@ -245,48 +246,49 @@
     send({m_peers[randomBelow(m_random, m_peers.size())]}, Digest{own, false});
 }
 
-auto QuarantineState::sendAnswers(TimePoint now) -> void
+auto QuarantineState::sendClearances(TimePoint now) -> void
 {
-    auto answers = Records{!areAllPeersSome(), {}};
-    for (const auto &it : std::exchange(m_answered, {})) {
+    auto clearances = Records{!picksAllPeers(), {}};
+    for (const auto &it : std::exchange(m_unsentClearances, {})) {
         const auto record = m_records.find(it);
         if (record != m_records.end())
-            answers.items.push_back(itemOf(it, record->second, now));
+            clearances.items.push_back(itemOf(it, record->second, now));
     }
-    m_answersDue.reset();
-    sendRecords(somePeers(), answers, answers.items.size());
+    m_clearancesDue.reset();
+    sendRecords(pickPeers(), clearances, clearances.items.size());
 }
 
-/// The gravest first: there may be more than a few datagrams hold.
-auto QuarantineState::sendBinding(const NodeId &to, TimePoint now) -> void
+/// Sends the suspected and refused requests, those with the most crashes first, because the datagrams may not hold all.
+auto QuarantineState::sendRestricted(const NodeId &to, TimePoint now) -> void
 {
-    auto binding = std::vector<std::pair<std::uint32_t, Records::Item>>();
+    auto restricted = std::vector<std::pair<std::uint32_t, Records::Item>>();
     for (const auto &[request, record] : m_records) {
-        if (isBinding(record))
-            binding.emplace_back(record.count(), itemOf(request, record, now));
+        if (isRestricted(record))
+            restricted.emplace_back(record.unclearedCount(), itemOf(request, record, now));
     }
-    std::sort(binding.begin(), binding.end(), [](const auto &a, const auto &b) {
+    std::sort(restricted.begin(), restricted.end(), [](const auto &a, const auto &b) {
         return std::tie(b.first, a.second.request) < std::tie(a.first, b.second.request);
     });
     auto records = Records();
-    for (auto &it : binding)
+    for (auto &it : restricted)
         records.items.push_back(std::move(it.second));
-    sendRecords({to}, records, m_settings.recordDatagrams);
+    sendRecords({to}, records, m_settings.maxDatagramsPerDigest);
 }
 
-auto QuarantineState::sendNews(CrashId crash, std::vector<RequestFingerprint> requests) -> void
+auto QuarantineState::sendCrashReport(CrashId crash, std::vector<RequestFingerprint> requests)
+        -> void
 {
-    const auto peers = somePeers();
-    const auto news = CrashNews{crash, !areAllPeersSome(), std::move(requests)};
-    for (const auto &it : splitNews(news, m_settings.mostPayloadBytes))
+    const auto peers = pickPeers();
+    const auto report = CrashReport{crash, !picksAllPeers(), std::move(requests)};
+    for (const auto &it : splitCrashReport(report, m_settings.maxPayloadBytes))
         send(peers, it);
 }
 
 auto QuarantineState::sendRecords(const std::vector<NodeId> &to, const Records &records,
-                                  std::size_t mostDatagrams) -> void
+                                  std::size_t maxDatagrams) -> void
 {
-    auto parts = splitRecords(records, m_settings.mostPayloadBytes);
-    parts.resize(std::min(parts.size(), mostDatagrams));
+    auto parts = splitRecords(records, m_settings.maxPayloadBytes);
+    parts.resize(std::min(parts.size(), maxDatagrams));
     for (const auto &it : parts)
         send(to, it);
 }
@@ -300,9 +302,9 @@
         m_datagrams.push_back({it, payload});
 }
 
-auto QuarantineState::somePeers() -> std::vector<NodeId>
+auto QuarantineState::pickPeers() -> std::vector<NodeId>
 {
-    if (areAllPeersSome())
+    if (picksAllPeers())
         return m_peers;
     auto some = std::vector<NodeId>();
     std::sample(m_peers.begin(), m_peers.end(), std::back_inserter(some), m_settings.fanOut,
@@ -314,7 +316,7 @@
 {
     auto all = std::uint64_t{0};
     for (const auto &[request, record] : m_records) {
-        if (isBinding(record))
+        if (isRestricted(record))
             all ^= record.hash(request);
     }
     return all;
@@ -326,29 +328,30 @@
     return {request, record.crashes(), std::max(Duration::zero(), now - record.lastCrash())};
 }
 
-auto QuarantineState::forget(TimePoint now) -> void
+auto QuarantineState::removeExpired(TimePoint now) -> void
 {
     std::erase_if(m_records, [&](const auto &it) {
         const auto &record = it.second;
-        const auto isVerdict = record.count() >= m_settings.crashesToRefuse;
-        // Beyond its hold, for whoever tries it then: a crash that is forgotten would have to be seen again.
-        const auto kept =
-                isVerdict ? 2 * m_settings.holdAfter(record.count()) : m_settings.suspicionTime;
-        return now - record.lastCrash() >= kept;
+        const auto isRefused = record.unclearedCount() >= m_settings.refuseThreshold;
+        // A refused request is recorded beyond the time of its refusal, because it may run again then. If its crashes were
+        // removed by that time, more servers would have to crash before it is refused again.
+        const auto lifetime = isRefused ? 2 * m_settings.refusalTimeAfter(record.unclearedCount())
+                                        : m_settings.suspicionTime;
+        return now - record.lastCrash() >= lifetime;
     });
 }
 
-/// Lets go what has the fewest crashes, and of these the oldest.
-auto QuarantineState::makeRoom() -> void
+/// Removes surplus records: those with the fewest crashes and, among these, those with the oldest crash.
+auto QuarantineState::removeSurplus() -> void
 {
-    if (m_records.size() <= m_settings.mostRecords)
+    if (m_records.size() <= m_settings.maxRecords)
         return;
     auto ranks = std::vector<std::tuple<std::uint32_t, TimePoint, RequestFingerprint>>();
     for (const auto &[request, record] : m_records)
-        ranks.emplace_back(record.count(), record.lastCrash(), request);
-    const auto surplus = static_cast<std::ptrdiff_t>(m_records.size() - m_settings.mostRecords);
-    std::nth_element(ranks.begin(), ranks.begin() + surplus, ranks.end());
-    for (auto it = ranks.begin(); it != ranks.begin() + surplus; ++it)
+        ranks.emplace_back(record.unclearedCount(), record.lastCrash(), request);
+    const auto excess = static_cast<std::ptrdiff_t>(m_records.size() - m_settings.maxRecords);
+    std::nth_element(ranks.begin(), ranks.begin() + excess, ranks.end());
+    for (auto it = ranks.begin(); it != ranks.begin() + excess; ++it)
         m_records.erase(std::get<RequestFingerprint>(*it));
 }
 
@@ -376,17 +379,17 @@
     const auto message = readMessage(saved);
     if (const auto *records = std::get_if<Records>(&message)) {
         for (const auto &it : records->items)
-            takeItem(it, now);
+            mergeItem(it, now);
     }
-    makeRoom();
+    removeSurplus();
 }
 
 auto QuarantineState::entries(TimePoint now) const -> std::vector<QuarantineEntry>
 {
     auto found = std::vector<QuarantineEntry>();
     for (const auto &[request, record] : m_records) {
-        if (isBinding(record))
-            found.push_back({request, record.count(), judge(request, now)});
+        if (isRestricted(record))
+            found.push_back({request, record.unclearedCount(), decide(request, now)});
     }
     std::sort(found.begin(), found.end(),
               [](const auto &a, const auto &b) { return a.request < b.request; });
--- a/tests/quarantine/TestQuarantineMessages.cpp
+++ b/tests/quarantine/TestQuarantineMessages.cpp
@@ -3,19 +3,19 @@
 
 #include "VirtualFleet.h"
 
-// After the standard headers, whose words its macros take.
+// Included after the standard headers, because its macros replace words that they use.
 #include <criterion/criterion.h>
 
 using namespace stairspur;
 using namespace stairspur::quarantine;
 
-Test(QuarantineMessages, whatIsWrittenIsRead)
+Test(QuarantineMessages, writtenMessagesAreReadBack)
 {
-    const auto news = CrashNews{~std::uint64_t{0}, true, {requestOf(1), requestOf(2)}};
-    const auto readNews = std::get<CrashNews>(readMessage(writeMessage(news)));
-    cr_assert_eq(readNews.crash, news.crash);
-    cr_assert(readNews.mayPassOn);
-    cr_assert_eq(readNews.requests, news.requests);
+    const auto report = CrashReport{~std::uint64_t{0}, true, {requestOf(1), requestOf(2)}};
+    const auto readReport = std::get<CrashReport>(readMessage(writeMessage(report)));
+    cr_assert_eq(readReport.crash, report.crash);
+    cr_assert(readReport.shouldForward);
+    cr_assert_eq(readReport.requests, report.requests);
 
     const auto digest = std::get<Digest>(readMessage(writeMessage(Digest{7, true})));
     cr_assert(digest.hash == 7 && digest.isReply);
@@ -28,44 +28,44 @@
     cr_assert_eq(read.items[0].age.count(), 5);
 }
 
-/// Numbers that take the most bytes.
+/// Returns a fingerprint whose numbers have the longest encoding.
 static auto longest(std::uint64_t n) -> RequestFingerprint
 {
     return {~n, ~n};
 }
 
-Test(QuarantineMessages, longOnesAreSplitWithinTheirBound)
+Test(QuarantineMessages, longMessagesAreSplitWithinTheLimit)
 {
-    static constexpr auto MostBytes = std::size_t{1'200};
-    auto news = CrashNews{~std::uint64_t{0}, true, {}};
+    static constexpr auto MaxBytes = std::size_t{1'200};
+    auto report = CrashReport{~std::uint64_t{0}, true, {}};
     auto records = Records{true, {}};
     for (auto n = std::uint64_t{0}; n < 200; ++n) {
-        news.requests.push_back(longest(n));
+        report.requests.push_back(longest(n));
         auto item = Records::Item{longest(n), {}, Duration{86'400'000'000}};
         for (auto crash = std::uint64_t{0}; crash < n % 13; ++crash)
             item.crashes.push_back({~crash, true});
         records.items.push_back(std::move(item));
     }
     auto requests = std::vector<RequestFingerprint>();
-    for (const auto &it : splitNews(news, MostBytes)) {
-        cr_expect_leq(writeMessage(it).size(), MostBytes);
-        cr_expect(it.crash == news.crash && it.mayPassOn);
+    for (const auto &it : splitCrashReport(report, MaxBytes)) {
+        cr_expect_leq(writeMessage(it).size(), MaxBytes);
+        cr_expect(it.crash == report.crash && it.shouldForward);
         requests.insert(requests.end(), it.requests.begin(), it.requests.end());
     }
-    cr_expect_eq(requests, news.requests);
+    cr_expect_eq(requests, report.requests);
     auto items = std::vector<RequestFingerprint>();
-    for (const auto &it : splitRecords(records, MostBytes)) {
-        cr_expect_leq(writeMessage(it).size(), MostBytes);
-        cr_expect(it.mayPassOn);
+    for (const auto &it : splitRecords(records, MaxBytes)) {
+        cr_expect_leq(writeMessage(it).size(), MaxBytes);
+        cr_expect(it.shouldForward);
         for (const auto &item : it.items)
             items.push_back(item.request);
     }
-    cr_expect_eq(items, news.requests);
-    cr_expect(splitNews({}, MostBytes).empty());
-    cr_expect(splitRecords({}, MostBytes).empty());
+    cr_expect_eq(items, report.requests);
+    cr_expect(splitCrashReport({}, MaxBytes).empty());
+    cr_expect(splitRecords({}, MaxBytes).empty());
 }
 
-Test(QuarantineMessages, whatIsNoMessageIsRefused)
+Test(QuarantineMessages, malformedMessagesAreRejected)
 {
     const auto digest = writeMessage(Digest{7, true});
     for (auto n = std::size_t{0}; n < digest.size(); ++n)
@@ -77,7 +77,7 @@
     cr_expect_throw(readMessage("\xa0"), InputError, "map");
 }
 
-Test(RequestFingerprint, tellsRequestsApartByAllThatTheirCallersSay)
+Test(RequestFingerprint, differsForEachPartOfARequest)
 {
     const auto same = RequestIdentity{.service = "menu",
                                       .caller = "c",
@@ -98,6 +98,6 @@
     auto shifted = same;
     shifted.method = "GETh";
     shifted.host = "";
-    cr_expect_neq(fingerprintOf(shifted), fingerprintOf(same), "parts do not run together");
+    cr_expect_neq(fingerprintOf(shifted), fingerprintOf(same), "adjacent parts are kept apart");
     cr_expect_eq(fingerprintOf(same).name().size(), 12);
 }
