--- a/include/stairspur/quota/GrantWindow.h
+++ b/include/stairspur/quota/GrantWindow.h
@@ -10,21 +10,22 @@
 
 namespace stairspur::quota {
 
-/// Counts the tokens that were granted lately, in slots of a tenth of a second. A slot counts until all of it lies outside the
-/// window, so that no window of that length holds more than the sum.
+/// Counts the tokens granted within a sliding window, in slots of a tenth of a second. A slot counts until all of it lies
+/// outside the window, so that at most sum() tokens were granted in any window of that length.
 class GrantWindow
 {
 public:
-    /// The five seconds of the promise, and those for which a token may be held before it is spent.
+    /// The five seconds that the quota guarantee covers, and the 0.3 s for which a token is valid before it is spent.
     static constexpr auto Length = Duration{5'300'000};
 
+    /// Records that `tokens` were granted.
     auto add(double tokens, TimePoint now) -> void
     {
         advance(now);
         m_slots[m_newest % Slots] += static_cast<float>(tokens);
     }
 
-    /// Granted tokens came back unspent: they were among the latest.
+    /// Removes tokens that were returned unspent, from the latest slots first: returned tokens are among the latest granted.
     auto remove(double tokens, TimePoint now) -> void
     {
         advance(now);
@@ -36,13 +37,14 @@
         }
     }
 
+    /// Returns the number of tokens granted within the window.
     [[nodiscard]] auto sum(TimePoint now) -> double
     {
         advance(now);
         return std::accumulate(m_slots.begin(), m_slots.end(), 0.0);
     }
 
-    /// When the oldest tokens cease to count.
+    /// Returns the time until the oldest tokens cease to count; Length if no slot but the newest has any.
     [[nodiscard]] auto untilRoom(TimePoint now) -> Duration
     {
         advance(now);
@@ -55,9 +57,10 @@
 
 private:
     static constexpr auto SlotTime = Duration{100'000};
-    /// One more than the window has, for the slot that is being filled.
+    /// The slots of the window, and one more for the slot that is being filled.
     static constexpr auto Slots = static_cast<std::size_t>(Length / SlotTime) + 1;
 
+    /// Clears the slots that have left the window.
     auto advance(TimePoint now) -> void
     {
         const auto slot = static_cast<std::uint64_t>(now.time_since_epoch() / SlotTime);
--- a/include/stairspur/quota/GrantorChoice.h
+++ b/include/stairspur/quota/GrantorChoice.h
@@ -10,9 +10,9 @@
 
 namespace stairspur::quota {
 
-/// Which node grants the tokens of a caller: the first by rendezvous hashing (Thaler and Ravishankar, 1998) among the nodes
-/// that have been known for a while. One that has just joined is passed over, since others may not know it yet and would go on
-/// asking its predecessor: the two of them would grant twice.
+/// Selects the node that grants the tokens of a caller, by rendezvous hashing (Thaler and Ravishankar, 1998) among the mature
+/// nodes. A node that has just joined is skipped: other hosts may not have it in their membership tables yet and would still
+/// send their requests to its predecessor, so that both would grant the quota.
 class GrantorChoice
 {
 public:
@@ -20,19 +20,21 @@
         : m_nodes(maturity, startedAt)
     {}
 
-    /// The nodes that are believed alive, this one included.
+    /// Sets the nodes that are alive, including this one.
     auto setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void;
 
-    /// Empty while no node is known.
+    /// Returns the grantor of `caller`; empty while there are no nodes.
     auto of(const std::string &caller, TimePoint now) -> NodeId;
 
 private:
+    /// Reads the candidates again and drops the cached choices.
     auto refresh(TimePoint now) -> void;
 
     KnownNodes m_nodes;
     std::vector<NodeId> m_candidates;
     TimePoint m_nextMaturity = TimePoint::max();
-    std::unordered_map<std::string, NodeId> m_chosen; ///< By caller, for the present candidates.
+    /// Cached choices by caller, for the current candidates.
+    std::unordered_map<std::string, NodeId> m_chosen;
 };
 
 } // namespace stairspur::quota
--- a/include/stairspur/quota/KnownNodes.h
+++ b/include/stairspur/quota/KnownNodes.h
@@ -8,15 +8,17 @@
 
 namespace stairspur::quota {
 
-/// A node that is believed alive.
+/// A node that is alive.
 struct StartedNode
 {
     NodeId node;
-    Incarnation start = 0; ///< Of its process, by its own clock of day, in milliseconds: a hint.
+    /// Start of its process by its own wall clock, in milliseconds; clocks of nodes may differ.
+    Incarnation start = 0;
 };
 
-/// Which nodes are alive, and which of them have been known for a while, so that all others will have heard of them too. Whom
-/// a node meets in its own first seconds was there before it, unless it started at about the same time.
+/// Keeps the nodes that are alive. A node is mature once it has been in the local membership table for a while, so that all
+/// other nodes have it in theirs too. A node that appears in the first seconds after this node's start was there before and is
+/// mature at once, unless it started at about the same time.
 class KnownNodes
 {
 public:
@@ -25,20 +27,21 @@
         , m_startedAt(startedAt)
     {}
 
-    /// The nodes that are believed alive, this one included.
+    /// Sets the nodes that are alive, including this one.
     auto setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void;
 
-    /// Those known for long enough, in the order of their ids; all, when none is.
+    /// Returns the mature nodes ordered by their ids; all nodes if none is mature.
     [[nodiscard]] auto mature(TimePoint now) const -> std::vector<NodeId>;
-    /// When mature() will name another one.
+    /// Returns when the next node becomes mature; TimePoint::max() if all are.
     [[nodiscard]] auto nextMaturity(TimePoint now) const -> TimePoint;
 
 private:
+    /// Returns when a node that appears at `now` becomes mature; `newest` is the latest start of all nodes.
     [[nodiscard]] auto matureTimeOf(const StartedNode &node, Incarnation newest,
                                     TimePoint now) const -> TimePoint;
 
-    /// Hosts that start at once know each other after about a second.
-    static constexpr auto StartTime = Duration{3'000'000};
+    /// Hosts that start at the same time have each other in their membership tables after about a second.
+    static constexpr auto StartupTime = Duration{3'000'000};
 
     Duration m_maturity;
     TimePoint m_startedAt;
--- a/include/stairspur/quota/Messages.h
+++ b/include/stairspur/quota/Messages.h
@@ -7,37 +7,41 @@
 
 #include <stairspur/core/Time.h>
 
-/// What hosts and the grantor of a caller tell each other: CBOR in datagrams.
+/// Messages between hosts and the grantor of a caller, as CBOR in datagrams.
 namespace stairspur::quota {
 
-/// A host wants tokens for requests of a caller.
+/// Requests tokens for a caller's requests, or returns unspent ones.
 struct TokenAsk
 {
-    std::uint64_t number = 0; ///< Repeated by the grant.
+    std::uint64_t number = 0; ///< Identifies the message; the grant repeats it.
     std::string caller;
     std::uint32_t wanted = 0;
-    std::uint32_t returned = 0; ///< Tokens of earlier grants that were not spent and still held.
-    /// The host asked another grantor for this caller a short time ago.
+    std::uint32_t returned = 0; ///< Tokens of earlier grants that are unspent and still valid.
+    /// Whether the host's last request for this caller, a short time ago, went to another grantor.
     bool hasMoved = false;
 };
 
+/// Response of a grantor to a request for tokens.
 struct TokenGrant
 {
     std::uint64_t number = 0;
     std::string caller;
     std::uint32_t granted = 0;
-    Duration wait{0};    ///< When those that got none may try again; 0: all were granted.
-    bool isKnown = true; ///< False: the grantor's configuration has no quota for this caller.
+    /// Time after which requests without a token may be retried; 0 if all tokens were granted.
+    Duration wait{0};
+    /// False if the sender's configuration has no quota for the caller, or if the sender doesn't grant it yet after a takeover.
+    bool isKnown = true;
 };
 
 using Message = std::variant<TokenAsk, TokenGrant>;
 
-/// Tokens in one message, at most; what names more is no message.
+/// Maximum number of tokens in one message; a message with more is invalid.
 inline constexpr auto MostTokens = std::uint32_t{1'000'000};
 
+/// Returns `message` as CBOR.
 auto writeMessage(const Message &message) -> std::string;
 
-/// Throws InputError on bytes that are no message.
+/// Returns the message in `bytes`. Throws InputError if they aren't a valid message.
 auto readMessage(std::string_view bytes) -> Message;
 
 } // namespace stairspur::quota
--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -15,22 +15,24 @@
 
 namespace stairspur::quota {
 
-/// The guards of the grantor. Tests take one away at a time to show that they see it.
+/// Safeguards of the grantor. Tests disable one at a time to show that they detect its absence.
 struct GrantorPolicy
 {
-    /// Behind a cut, each side grants by the share of the hosts that it sees: both together no more than the quota.
+    /// In a network partition each side grants in proportion to the hosts that it sees alive, so that both sides together
+    /// grant no more than the quota.
     static constexpr auto SharesByHostsSeen = true;
-    /// A grantor that takes over from another one begins with an empty bucket. So does one that has just started: after a
-    /// restart of all hosts each takes itself for the grantor of all callers until it has met the others. In a play of
-    /// that, 22 hosts with full buckets let 1,505 requests of one caller run in 5 s where 1,063 are allowed.
+    /// A grantor that takes over from another one starts with an empty bucket. So does a grantor that has just started: after
+    /// a restart of all hosts each one is its own grantor for all callers until the other hosts are in its membership table. In
+    /// a simulated restart of 22 hosts with full buckets, 1,505 requests of one caller ran in 5 s where 1,063 are allowed.
     static constexpr auto TakesOverEmpty = true;
 };
 
-/// Grants the tokens of those callers whose grantor this node is. Pure; belongs to one thread.
+/// Grants the tokens of the callers whose grantor this node is. Performs no I/O; belongs to one thread.
 ///
-/// A caller may have its rate for five seconds and its burst on top in any five seconds, so that it may go on for long at its
-/// rate and a fifth of its burst. A bucket of the rate alone refused 18 % of a surge that lay within that. So each caller has a
-/// bucket that fills at that greater speed, which spreads refusals evenly, and a window of what was granted, which bounds them.
+/// In any five seconds a caller may use its rate for five seconds and its fullRate burst, so that it may permanently use its rate
+/// and a fifth of its burst each second. A bucket that fills at the rate alone refused 18 % of a surge within that limit. So
+/// each caller has a bucket that fills at the higher rate, which distributes refusals evenly, and a window of the granted
+/// tokens, which limits their sum.
 template <typename Policy = GrantorPolicy>
 class BasicQuotaGrantor
 {
@@ -41,27 +43,28 @@
         , m_nodes(settings.returnTime, startedAt)
     {}
 
-    /// The hosts that are believed alive, this one included.
+    /// Sets the hosts that are alive, including this one.
     auto setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void
     {
         m_nodes.setNodes(nodes, now);
         countHosts(now);
     }
 
+    /// Returns the tokens that the caller's quota has for a host's request, after taking back the tokens that it returns.
     auto answer(const TokenAsk &ask, const config::RequestQuota &quota, TimePoint now) -> TokenGrant
     {
-        forgetIdle(now);
+        removeIdle(now);
         if (now >= m_nextMaturity)
             countHosts(now);
         auto &account = accountOf(ask, quota, now);
-        if (now < account.opensAt && Policy::TakesOverEmpty)
+        if (now < account.grantsFrom && Policy::TakesOverEmpty)
             return {.number = ask.number, .caller = ask.caller, .isKnown = false};
         refill(account, quota, now);
         const auto depth = depthOf(quota) * shareAt(now);
         account.tokens = std::min(account.tokens + ask.returned, depth);
         account.window.remove(ask.returned, now);
         const auto room =
-                std::max(mostInWindow(quota) * shareAt(now) - account.window.sum(now), 0.0);
+                std::max(maxInWindow(quota) * shareAt(now) - account.window.sum(now), 0.0);
         auto grant = TokenGrant{ask.number, ask.caller, 0, Duration::zero(), true};
         grant.granted =
                 std::min(ask.wanted, static_cast<std::uint32_t>(std::min(account.tokens, room)));
@@ -69,82 +72,85 @@
         account.window.add(grant.granted, now);
         account.refused += ask.wanted - grant.granted;
         if (grant.granted < ask.wanted)
-            grant.wait = waitOf(account, quota, now);
+            grant.wait = waitTimeOf(account, quota, now);
         return grant;
     }
 
+    /// Returns the number of callers that have an account.
     [[nodiscard]] auto accounts() const -> std::size_t { return m_accounts.size(); }
 
 private:
     struct Account
     {
         double tokens = 0;
-        double refused = 0; ///< Tokens that were asked for in vain in about the last second.
+        double refused = 0; ///< Tokens requested and not granted in about the last second.
         TimePoint filledAt;
-        /// Until then it grants nothing: the former grantor may be behind a cut, and grant on.
-        TimePoint opensAt{};
-        TimePoint
-                fillsWholeAt{}; ///< Until then at a part of the rate: another grantor's window is not known.
+        /// Until this time nothing is granted: the previous grantor may be in another partition and still grant.
+        TimePoint grantsFrom{};
+        /// Until this time the bucket fills at a part of the rate: this node doesn't have the previous grantor's window.
+        TimePoint fullRateAt{};
         GrantWindow window;
     };
 
-    /// A node that has just started takes itself for one of so many. After a restart of all hosts those of each failure domain know
-    /// each other before those of the others, and each domain had a grantor that granted the whole: 2,979 requests of a
-    /// caller ran in 5 s where 2,964 are allowed.
-    static constexpr auto LeastHostsAtStart = 64.0;
-    /// Hosts that were lost together are not waited for longer: their callers have gone elsewhere by then.
-    static constexpr auto FleetMemory = Duration{600'000'000};
-    /// A grantor that takes over while it sees fewer of the hosts than this is on one side of a cut, and the other side may not
-    /// have noticed: it waits for a window, in which hosts go on by their even share.
-    static constexpr auto LeastShareToTakeOver = 0.9;
-    /// Hosts that start at once know each other after about a second.
-    static constexpr auto StartTime = Duration{3'000'000};
-    /// Of the rate, while what another grantor has granted is not known. Hosts learn of a takeover within about a second, and
-    /// for so long both grant. While a third of the hosts was replaced one after the other, 188 requests of a caller ran in
-    /// 5 s where 185 are allowed, with the whole rate here.
+    /// Number of hosts that a node assumes at least while it has just started. After a restart of all hosts, those of one
+    /// failure domain have each other in their membership tables before those of other domains. Without this minimum each
+    /// domain had a grantor that granted the fullRate quota: 2,979 requests of a caller ran in 5 s where 2,964 are allowed.
+    static constexpr auto MinHostsAtStart = 64.0;
+    /// Time for which hosts that are no longer alive still count: after it their callers use other hosts.
+    static constexpr auto MaxHostsMemory = Duration{600'000'000};
+    /// A grantor that takes over while it sees a smaller share of the hosts than this is on one side of a network partition, and
+    /// the other side may not have detected it. The grantor waits for one window, in which hosts use their even share.
+    static constexpr auto MinShareToTakeOver = 0.9;
+    /// Hosts that start at the same time have each other in their membership tables after about a second.
+    static constexpr auto StartupTime = Duration{3'000'000};
+    /// Share of the rate that is granted for one window after a takeover. Hosts detect a takeover within about a second, and
+    /// until then both grantors grant. With the fullRate rate, 188 requests of a caller ran in 5 s where 185 are allowed, while
+    /// a third of the hosts was replaced one after the other.
     static constexpr auto TakeoverShare = 0.7;
-    static constexpr auto PromiseSeconds = 5.0;
+    static constexpr auto GuaranteeSeconds = 5.0;
     static constexpr auto UsedExcess = 0.01;
     static constexpr auto UsedSlack = 10.0;
-    static constexpr auto ShortestWait = Duration{50'000};
-    static constexpr auto LongestWait = Duration{5'000'000};
-    static constexpr auto ForgetInterval = Duration{10'000'000};
+    static constexpr auto MinWait = Duration{50'000};
+    static constexpr auto MaxWait = Duration{5'000'000};
+    static constexpr auto CleanupInterval = Duration{10'000'000};
 
+    /// Counts the mature hosts and updates the maximum.
     auto countHosts(TimePoint now) -> void
     {
-        m_alive = static_cast<double>(m_nodes.mature(now).size());
+        m_hosts = static_cast<double>(m_nodes.mature(now).size());
         m_nextMaturity = m_nodes.nextMaturity(now);
-        if (m_alive < m_most && now - m_mostAt <= FleetMemory)
+        if (m_hosts < m_maxHosts && now - m_maxHostsAt <= MaxHostsMemory)
             return;
-        m_most = m_alive;
-        m_mostAt = now;
+        m_maxHosts = m_hosts;
+        m_maxHostsAt = now;
     }
 
-    /// The part of the quota that this node may grant.
+    /// Returns the share of the quota that this node may grant, 0 to 1.
     [[nodiscard]] auto shareAt(TimePoint now) const -> double
     {
-        return Policy::SharesByHostsSeen ? m_alive / std::max(m_most, leastHostsAt(now)) : 1.0;
+        return Policy::SharesByHostsSeen ? m_hosts / std::max(m_maxHosts, minHostsAt(now)) : 1.0;
     }
 
-    [[nodiscard]] auto leastHostsAt(TimePoint now) const -> double
+    [[nodiscard]] auto minHostsAt(TimePoint now) const -> double
     {
-        return now - m_startedAt < StartTime ? LeastHostsAtStart : 1.0;
+        return now - m_startedAt < StartupTime ? MinHostsAtStart : 1.0;
     }
 
+    /// Returns the caller's account; a new one starts with a full bucket unless this node takes over from another grantor.
     auto accountOf(const TokenAsk &ask, const config::RequestQuota &quota, TimePoint now)
             -> Account &
     {
         const auto [it, isNew] = m_accounts.try_emplace(ask.caller);
         if (isNew) {
             it->second.filledAt = now;
-            const auto isTakeover = ask.hasMoved || now - m_startedAt < StartTime;
+            const auto isTakeover = ask.hasMoved || now - m_startedAt < StartupTime;
             if (!isTakeover || !Policy::TakesOverEmpty)
                 it->second.tokens = depthOf(quota) * shareAt(now);
         }
         if (ask.hasMoved && Policy::TakesOverEmpty)
-            it->second.fillsWholeAt = now + GrantWindow::Length;
-        if (isNew && ask.hasMoved && shareAt(now) < LeastShareToTakeOver)
-            it->second.opensAt = now + GrantWindow::Length;
+            it->second.fullRateAt = now + GrantWindow::Length;
+        if (isNew && ask.hasMoved && shareAt(now) < MinShareToTakeOver)
+            it->second.grantsFrom = now + GrantWindow::Length;
         return it->second;
     }
 
@@ -158,31 +164,33 @@
         account.refused = std::max(account.refused * (1 - seconds), 0.0);
     }
 
-    /// What the quota allows in the promise's five seconds.
+    /// Returns the requests that the quota allows in the five seconds that the guarantee covers.
     [[nodiscard]] static auto allowedInWindow(const config::RequestQuota &quota) -> double
     {
-        return quota.requestsPerSecond * PromiseSeconds + quota.burst;
+        return quota.requestsPerSecond * GuaranteeSeconds + quota.burst;
     }
 
-    /// Of the tenth and the 20 requests that may run on top, most is left for hosts that had to go on without their grantor.
-    [[nodiscard]] static auto mostInWindow(const config::RequestQuota &quota) -> double
+    /// Returns the tokens that may be granted in a window. The guarantee allows a tenth and 20 requests on top of the quota; most
+    /// of that is left for hosts whose grantor does not respond.
+    [[nodiscard]] static auto maxInWindow(const config::RequestQuota &quota) -> double
     {
         return allowedInWindow(quota) * (1 + UsedExcess) + UsedSlack;
     }
 
-    /// Tokens a second.
+    /// Returns the rate at which the bucket fills, in tokens per second.
     [[nodiscard]] auto fillRate(const Account &account, const config::RequestQuota &quota,
                                 TimePoint now) const -> double
     {
-        const auto whole = allowedInWindow(quota) / PromiseSeconds;
-        const auto atTakeover = quota.requestsPerSecond * TakeoverShare;
-        const auto rate = now < account.fillsWholeAt ? atTakeover : whole;
+        const auto fullRate = allowedInWindow(quota) / GuaranteeSeconds;
+        const auto takeoverRate = quota.requestsPerSecond * TakeoverShare;
+        const auto rate = now < account.fullRateAt ? takeoverRate : fullRate;
         return rate * shareAt(now);
     }
 
-    /// Until there is a token for each request that was refused of late: earlier, most would come in vain.
-    [[nodiscard]] auto waitOf(Account &account, const config::RequestQuota &quota, TimePoint now)
-            -> Duration
+    /// Returns the time until there is a token for each request refused in the last second: most earlier retries would be
+    /// refused again.
+    [[nodiscard]] auto waitTimeOf(Account &account, const config::RequestQuota &quota,
+                                  TimePoint now) -> Duration
     {
         const auto rate = std::max(fillRate(account, quota, now), 0.001);
         const auto seconds = (account.refused + 1 - account.tokens) / rate;
@@ -190,14 +198,15 @@
         auto wait = std::chrono::duration_cast<Duration>(fill);
         if (account.tokens >= 1)
             wait = std::max(wait, account.window.untilRoom(now));
-        return std::clamp(wait, ShortestWait, LongestWait);
+        return std::clamp(wait, MinWait, MaxWait);
     }
 
-    auto forgetIdle(TimePoint now) -> void
+    /// Removes the accounts that have been idle for too long.
+    auto removeIdle(TimePoint now) -> void
     {
-        if (now - m_forgotAt < ForgetInterval)
+        if (now - m_cleanedUpAt < CleanupInterval)
             return;
-        m_forgotAt = now;
+        m_cleanedUpAt = now;
         std::erase_if(m_accounts, [&](const auto &it) {
             return now - it.second.filledAt > m_settings.idleTime;
         });
@@ -207,14 +216,14 @@
     TimePoint m_startedAt;
     KnownNodes m_nodes;
     TimePoint m_nextMaturity = TimePoint::max();
-    double m_alive = 1;
-    double m_most = 1; ///< Hosts that were alive at once, at most.
-    TimePoint m_mostAt{};
-    TimePoint m_forgotAt{};
+    double m_hosts = 1;    ///< Mature hosts.
+    double m_maxHosts = 1; ///< Maximum number of hosts that were alive at the same time.
+    TimePoint m_maxHostsAt{};
+    TimePoint m_cleanedUpAt{};
     std::unordered_map<std::string, Account> m_accounts;
 };
 
-/// What nodes run.
+/// The grantor with all safeguards, as nodes use it.
 using QuotaGrantor = BasicQuotaGrantor<>;
 
 } // namespace stairspur::quota
--- a/include/stairspur/quota/QuotaHolder.h
+++ b/include/stairspur/quota/QuotaHolder.h
@@ -16,30 +16,31 @@
 
 namespace stairspur::quota {
 
-/// A request that wants to run, by a number that whoever offers it has chosen.
+/// Identifies an offered request; the user of QuotaHolder chooses it.
 using RequestNumber = std::uint64_t;
 
-/// What became of an offered request.
+/// Outcome of an offered request.
 struct QuotaDecision
 {
     RequestNumber request = 0;
     bool isAdmitted = false;
-    Duration retryAfter{0}; ///< Of a refused one.
-    TimePoint tokenEnd{};   ///< Of an admitted one; see QuotaHolder::giveBack().
+    Duration retryAfter{0}; ///< For a refused request: time after which it may be retried.
+    TimePoint tokenEnd{};   ///< For an admitted request: when its token expires.
 };
 
+/// A message that is to be sent to a grantor.
 struct QuotaDatagram
 {
     NodeId to;
     std::string payload;
 };
 
-/// Holds this host's tokens of all callers in use, and asks their grantors for more.
+/// Admits the requests of callers on this host with tokens, and requests tokens from the callers' grantors.
 ///
-/// A request runs for a token. A caller that is busy here finds some in stock; for others the host asks and the request waits for
-/// the answer, some milliseconds. When the grantor says nothing, behind a cut or because it has ended, the host admits its
-/// even share of the quota until somebody grants again. Pure: requests, grants and time go in, decisions and datagrams come
-/// out.
+/// Each request needs one token. For a busy caller there are tokens in stock; for others the host sends a message to the grantor
+/// and the request waits some milliseconds for the response. When the grantor does not respond, because of a network partition or
+/// because it has crashed, the host admits its even share of the quota until a grantor grants again. Performs no
+/// I/O: it takes requests, grants and the time, and yields decisions and datagrams.
 class QuotaHolder
 {
 public:
@@ -50,93 +51,113 @@
         , m_random(seed)
     {}
 
-    /// The nodes that are believed alive, this one included.
+    /// Sets the nodes that are alive, including this one.
     auto setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void;
 
-    /// The decision on `request` is taken out of takeDecisions(), now or after a grant or tick.
+    /// Offers a request for admission. takeDecisions() returns the decision, at once or after a later grant or tick.
     auto offer(RequestNumber request, const std::string &caller, const config::RequestQuota &quota,
                TimePoint now) -> void;
-    /// An admitted request ran nowhere: its token serves another one, as long as it holds.
+    /// Returns the token of an admitted request that did not run, for another request until `tokenEnd`.
     auto giveBack(const std::string &caller, TimePoint tokenEnd, TimePoint now) -> void;
+    /// Receives a grantor's response. A grant without a pending request is ignored.
     auto receive(const TokenGrant &grant, TimePoint now) -> void;
-    /// To be called some fifty times a second while isActive().
+    /// Detects missing responses and returns unused tokens. Must be called about fifty times a second while isActive().
     auto tick(TimePoint now) -> void;
-    /// Whether tick() may have something to do: not once nobody has offered a request for a second.
+    /// Returns whether tick() may have work: a request was offered within the last second.
     [[nodiscard]] auto isActive(TimePoint now) const -> bool
     {
         return now - m_offeredAt < ActiveTime;
     }
 
+    /// Returns and clears the decisions made since the last call.
     auto takeDecisions() -> std::vector<QuotaDecision>;
+    /// Returns and clears the datagrams to be sent since the last call.
     auto takeDatagrams() -> std::vector<QuotaDatagram>;
 
+    /// Returns the number of callers that have an account.
     [[nodiscard]] auto accounts() const -> std::size_t { return m_accounts.size(); }
 
 private:
-    /// All asks are given up and all tokens void well within it.
+    /// Time after which every pending request for tokens has timed out and every token has expired, with a margin.
     static constexpr auto ActiveTime = Duration{1'000'000};
 
-    /// Tokens of one grant.
-    struct Lot
+    /// Tokens of one grant, which expire together.
+    struct TokenBatch
     {
         std::uint32_t tokens = 0;
         TimePoint end;
     };
 
-    struct OpenAsk
+    /// A request for tokens that has no response yet.
+    struct PendingRequest
     {
         std::uint64_t number = 0;
         TimePoint sentAt;
-        bool isSecond = false;
+        bool isRetry = false; ///< Repeats a request that had no response.
     };
 
     struct Account
     {
         config::RequestQuota quota;
-        std::deque<Lot> lots; ///< The one that ends first is the first.
+        std::deque<TokenBatch> batches; ///< Ordered by expiry, earliest first.
         std::deque<RequestNumber> waiting;
-        std::vector<OpenAsk> asks; ///< Not yet answered; the latest is the last.
-        TimePoint refusedUntil{};
-        Duration refusalWait{0};   ///< What callers are told until then.
-        TimePoint stockPauseEnd{}; ///< Until then the grantor has no tokens to spare for a stock.
-        NodeId grantor;            ///< Whom it asked last.
-        TimePoint askedAt{};
-        bool isGrantorSilent = false;
-        bool isContended = false; ///< The grantor had refused lately when it fell silent.
-        double demand = 0;        ///< Requests a second, averaged over about a second.
+        /// Requests for tokens without a response yet; the latest is last.
+        std::vector<PendingRequest> pendingRequests;
+        TimePoint refusedUntil{};      ///< Requests without a token are refused until then.
+        Duration refusalWait{0};       ///< Retry time that callers receive until then.
+        TimePoint stockPauseEnd{};     ///< Until then no tokens are requested in advance.
+        NodeId grantor;                ///< Receiver of the last request for tokens.
+        TimePoint requestedAt{};       ///< Time of the last request for tokens.
+        bool isUsingEvenShare = false; ///< The grantor does not respond or does not grant.
+        bool isContended = false; ///< The grantor refused shortly before it stopped responding.
+        double demand = 0;        ///< Requests per second, averaged over about a second.
         TimePoint demandAt{};
-        double shareTokens = 0; ///< Of the even share, while the grantor is silent.
+        double shareTokens = 0; ///< Tokens of the even share.
         TimePoint shareFilledAt{};
     };
 
-    auto noteDemand(Account &account, TimePoint now) -> void;
-    static auto dropEnded(Account &account, TimePoint now) -> void;
+    /// Updates the caller's demand with one more request.
+    auto updateDemand(Account &account, TimePoint now) -> void;
+    /// Removes expired and empty batches.
+    static auto removeExpired(Account &account, TimePoint now) -> void;
+    /// Returns the number of tokens in stock.
     [[nodiscard]] static auto stockOf(const Account &account) -> std::uint32_t;
-    /// Decides on a request; false: only the next grant can.
+    /// Decides on a request. Returns false if the decision needs the next grant.
     auto tryDecide(Account &account, RequestNumber request, TimePoint now) -> bool;
+    /// Admits a request with a token in stock. Returns whether there was one.
     auto takeToken(Account &account, RequestNumber request) -> bool;
-    auto takeOfShare(Account &account, RequestNumber request, TimePoint now) -> void;
+    /// Admits or refuses a request by this host's even share of the quota.
+    auto takeFromShare(Account &account, RequestNumber request, TimePoint now) -> void;
     auto refuse(RequestNumber request, Duration wait) -> void;
-    auto askIfShort(const std::string &caller, Account &account, TimePoint now) -> void;
-    auto ask(const std::string &caller, Account &account, TimePoint now, bool isSecond) -> void;
+    /// Requests tokens if requests wait or the stock is low, unless a request is pending or the caller is refused.
+    auto requestTokensIfNeeded(const std::string &caller, Account &account, TimePoint now) -> void;
+    /// Sends a request for tokens to the caller's grantor.
+    auto requestTokens(const std::string &caller, Account &account, TimePoint now, bool isRetry)
+            -> void;
+    /// Decides on as many waiting requests as possible, in their order.
     auto serveWaiting(Account &account, TimePoint now) -> void;
     auto refuseWaiting(Account &account) -> void;
-    static auto isUnanswered(const Account &account, TimePoint now, Duration timeout) -> bool;
-    auto becomeSilent(Account &account, TimePoint now) -> void;
-    auto noteSilence(const std::string &caller, Account &account, TimePoint now) -> void;
-    auto returnEnding(const std::string &caller, Account &account, TimePoint now) -> void;
-    [[nodiscard]] auto atOnceWithoutGrantor(const config::RequestQuota &quota) const -> double;
+    /// Returns whether the latest request for tokens has had no response for `timeout`.
+    static auto hasTimedOut(const Account &account, TimePoint now, Duration timeout) -> bool;
+    /// Switches the account to this host's even share of the quota.
+    auto switchToEvenShare(Account &account, TimePoint now) -> void;
+    /// Handles a missing response: sends the request once more, then goes on without the grantor.
+    auto handleTimeout(const std::string &caller, Account &account, TimePoint now) -> void;
+    /// Returns tokens that are about to expire to the grantor, so that other hosts can spend them.
+    auto returnExpiring(const std::string &caller, Account &account, TimePoint now) -> void;
+    /// Returns the tokens that this host may spend at once when its grantor stops responding.
+    [[nodiscard]] auto initialShare(const config::RequestQuota &quota) const -> double;
 
     QuotaSettings m_settings;
     TimePoint m_startedAt;
     GrantorChoice m_choice;
     Random m_random;
-    std::size_t m_hosts = 1; ///< The most that were alive at once.
+    std::size_t m_hosts = 1; ///< Maximum number of hosts that were alive at the same time.
     std::unordered_map<std::string, Account> m_accounts;
     std::vector<QuotaDecision> m_decisions;
     std::vector<QuotaDatagram> m_datagrams;
     TimePoint m_offeredAt{};
-    TimePoint m_forgotAt{};
+    TimePoint m_cleanedUpAt{};
 };
 
 } // namespace stairspur::quota
--- a/include/stairspur/quota/QuotaSettings.h
+++ b/include/stairspur/quota/QuotaSettings.h
@@ -6,36 +6,38 @@
 #include <stairspur/config/Configuration.h>
 #include <stairspur/core/Time.h>
 
-/// How many requests of a caller may run, over all hosts together.
+/// Limits the requests of each caller over all hosts together. A grantor, one node for each caller, lends tokens to the hosts;
+/// a host spends one for each request.
 namespace stairspur::quota {
 
-/// What hosts and grantors agree upon. The promise: in any five seconds no more than 1.1 times what the quota allows in them, and
-/// 20 requests, run. Below the quota nothing is refused.
+/// Times that hosts and grantors share. The guarantee of a quota: in any five seconds at most 1.1 times the requests that the
+/// quota allows in them, and 20 more, run. Below the quota no request is refused.
 struct QuotaSettings
 {
-    /// From when a host asks for tokens until those it has not spent are void. What is out at the start of a window comes on
-    /// top of what is granted in it: 0.3 s of the rate, where 0.5 s are allowed.
+    /// Time from a host's request for tokens until those that it has not spent expire. Tokens that are unspent at the start
+    /// of a window add to those granted within it: 0.3 s of the rate, where 0.5 s are allowed.
     Duration tokenLifetime{300'000};
-    /// A host asks for what its requests of so long a time need, so that a busy caller's requests find tokens there.
+    /// Time for which a host requests tokens in advance, so that requests of a busy caller find tokens in stock.
     Duration stockTime{100'000};
-    /// An ask or its answer was lost, or the grantor is gone: it is asked once more, and then does without. Two ways between
-    /// failure domains and a busy grantor take some milliseconds.
+    /// Time after which a request for tokens or its response counts as lost, or the grantor as gone. The host sends the request
+    /// once more and then goes on without a grantor. A round trip between failure domains to a busy grantor takes some
+    /// milliseconds.
     Duration answerTimeout{80'000};
-    /// How often a grantor that says nothing is asked anew.
+    /// Interval at which a grantor that does not respond is queried again.
     Duration probeInterval{250'000};
-    /// A host takes no refusal for longer, whatever it was told to tell its callers.
+    /// Maximum time for which a host applies a grantor's refusal, whatever retry time it reports to callers.
     Duration mostRefusalTime{100'000};
-    /// Nodes that were not known before take a grantor's part after it, when all others have heard of them too.
+    /// Time after which a new node may be selected as a grantor: all others have it in their membership tables by then.
     Duration maturity{2'000'000};
-    /// Hosts that come back into sight count for the share that a grantor may grant after it, when none of them asks another
-    /// grantor any more.
+    /// Time after which hosts that are reachable again count for the share that a grantor may grant: none of them sends
+    /// requests to another grantor any more.
     Duration returnTime{3'000'000};
-    /// Accounts that nobody used for so long are forgotten.
+    /// Time without use after which the account of a caller is removed.
     Duration idleTime{30'000'000};
 };
 
-/// What a grantor's bucket holds at most. A quota without a burst still needs room for what comes between two asks of many
-/// hosts. The grantor's window bounds what is granted, however deep the bucket.
+/// Returns the capacity of a grantor's bucket, in tokens. A quota without a burst still needs capacity for the requests that
+/// arrive at many hosts between two of their messages. The grantor's window limits what is granted, whatever the capacity.
 inline auto depthOf(const config::RequestQuota &quota) -> double
 {
     static constexpr auto BetweenAsks = 0.2; // Seconds.
--- a/source/quota/GrantorChoice.cpp
+++ b/source/quota/GrantorChoice.cpp
@@ -23,9 +23,9 @@
 {
     if (now >= m_nextMaturity)
         refresh(now);
-    const auto known = m_chosen.find(caller);
-    if (known != m_chosen.end())
-        return known->second;
+    const auto cached = m_chosen.find(caller);
+    if (cached != m_chosen.end())
+        return cached->second;
     if (m_candidates.empty())
         return {};
     const auto seed = hash64(caller);
--- a/source/quota/KnownNodes.cpp
+++ b/source/quota/KnownNodes.cpp
@@ -8,11 +8,12 @@
 auto KnownNodes::matureTimeOf(const StartedNode &node, Incarnation newest, TimePoint now) const
         -> TimePoint
 {
-    static constexpr auto StartMilliseconds = static_cast<Incarnation>(toMilliseconds(StartTime));
-    if (now - m_startedAt >= StartTime)
+    static constexpr auto StartupMilliseconds =
+            static_cast<Incarnation>(toMilliseconds(StartupTime));
+    if (now - m_startedAt >= StartupTime)
         return now + m_maturity;
-    const auto wasThereBefore = node.start + StartMilliseconds < newest;
-    // Those that started with this node are as old as it is, whenever it met them.
+    const auto wasThereBefore = node.start + StartupMilliseconds < newest;
+    // A node that started together with this one becomes mature together with it, whenever it appears.
     return wasThereBefore ? now : std::max(now, m_startedAt + m_maturity);
 }
 
--- a/source/quota/Messages.cpp
+++ b/source/quota/Messages.cpp
@@ -9,19 +9,19 @@
 
 using Json = nlohmann::json;
 
-/// Of the two messages, first in each.
+/// Kind of a message; its first element.
 enum class Kind : std::uint8_t {
-    Ask = 1,
+    Request = 1,
     Grant = 2,
 };
 
 static constexpr auto Remedy = "run one protocol version of stairspur on all nodes";
-/// No wait is longer: a caller is told to come back, not to stay away.
-static constexpr auto MostWait = Duration{60'000'000};
+/// Maximum wait that is accepted from a grantor, so that callers always receive a time at which a retry makes sense.
+static constexpr auto MaxWait = Duration{60'000'000};
 
 static auto toJson(const TokenAsk &it) -> Json
 {
-    return Json::array({Kind::Ask, it.number, it.caller, it.wanted, it.returned, it.hasMoved});
+    return Json::array({Kind::Request, it.number, it.caller, it.wanted, it.returned, it.hasMoved});
 }
 
 static auto toJson(const TokenGrant &it) -> Json
@@ -34,11 +34,11 @@
 {
     const auto count = json.get<std::uint64_t>();
     if (!json.is_number_unsigned() || count > MostTokens)
-        throw InputError("a quota message is of more tokens than there can be", Remedy);
+        throw InputError("a quota message has more tokens than the maximum", Remedy);
     return static_cast<std::uint32_t>(count);
 }
 
-static auto readAsk(const Json &json) -> TokenAsk
+static auto readRequest(const Json &json) -> TokenAsk
 {
     return {json.at(1), json.at(2), readCount(json.at(3)), readCount(json.at(4)), json.at(5)};
 }
@@ -47,7 +47,7 @@
 {
     const auto wait = Duration(json.at(4).get<Duration::rep>());
     return {json.at(1), json.at(2), readCount(json.at(3)),
-            std::clamp(wait, Duration::zero(), MostWait), json.at(5)};
+            std::clamp(wait, Duration::zero(), MaxWait), json.at(5)};
 }
 
 auto writeMessage(const Message &message) -> std::string
@@ -60,15 +60,15 @@
     try {
         const auto json = fromCbor(bytes);
         switch (static_cast<Kind>(readCount(json.at(0)))) {
-        case Kind::Ask:
-            return readAsk(json);
+        case Kind::Request:
+            return readRequest(json);
         case Kind::Grant:
             return readGrant(json);
         }
     } catch (const Json::exception &error) {
         throw InputError(std::string("a quota message cannot be read: ") + error.what(), Remedy);
     }
-    throw InputError("a quota message is of an unknown kind", Remedy);
+    throw InputError("a quota message has an unknown kind", Remedy);
 }
 
 } // namespace stairspur::quota
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -6,25 +6,26 @@
 
 namespace stairspur::quota {
 
-/// Demand is averaged over about a second.
+/// Time over which demand is averaged, in seconds.
 static constexpr auto DemandSeconds = 1.0;
-/// Tokens that are not spent go back so long before they end, that the grantor has them before then.
+/// Time before their expiry at which unspent tokens are returned, so that the grantor receives them while they are valid.
 static constexpr auto ReturnMargin = Duration{50'000};
-/// What hosts without a grantor may admit together before any time has passed, out of the promise's room: this many
-/// requests, and this time of the rate. The rest of that room is for tokens that are out.
-static constexpr auto UngrantedRequests = 5.0;
-static constexpr auto UngrantedSeconds = 0.1;
-/// Of the even share where the grantor, as it was last heard, had to refuse: it may still grant the whole quota to others. With two
-/// thirds of the hosts behind a cut, the promise has room for some 0.05: 5 s x 2/3 x 0.05 = 0.17 s of the rate. At a quarter 3,461
-/// requests of a caller ran in 5 s where 3,445 are allowed.
+/// Requests that all hosts without a grantor together may admit at once, out of the excess that the guarantee allows: this
+/// number, and the rate for this time in seconds. The rest of the excess is for tokens that are granted but not yet spent.
+static constexpr auto InitialShareRequests = 5.0;
+static constexpr auto InitialShareSeconds = 0.1;
+/// Part of the even share that a host uses if the grantor refused requests in its last responses: it may still grant the whole
+/// quota to other hosts. With two thirds of the hosts cut off, the guarantee leaves room for about 0.05: 5 s x 2/3 x 0.05 =
+/// 0.17 s of the rate. With a quarter, 3,461 requests of a caller ran in 5 s where 3,445 are allowed.
 static constexpr auto ContendedShare = 0.05;
-/// For how long a refusal says that the caller sends more than it may.
-static constexpr auto ContentionMemory = Duration{5'000'000};
-/// When to come back to a host whose grantor says nothing: about the time in which the others notice that it is gone.
-static constexpr auto SilentRetryAfter = Duration{1'000'000};
-/// After its start a host meets the others; whom it asked meanwhile, as one of few that it knew, has granted next to nothing.
-static constexpr auto MeetingTime = Duration{3'000'000};
-static constexpr auto ForgetInterval = Duration{10'000'000};
+/// Time for which a refusal is taken as a sign that the caller exceeds its quota.
+static constexpr auto ContentionTime = Duration{5'000'000};
+/// Retry time of refusals while the grantor does not respond: about the time in which other nodes detect that it is gone.
+static constexpr auto UnresponsiveRetryAfter = Duration{1'000'000};
+/// Time after its start in which a host fills its membership table. A grantor that it queried meanwhile, selected from the few
+/// nodes in the table, has granted almost nothing, so that a change of the grantor is not reported.
+static constexpr auto StartupTime = Duration{3'000'000};
+static constexpr auto CleanupInterval = Duration{10'000'000};
 
 static auto secondsOf(Duration time) -> double
 {
@@ -47,22 +48,23 @@
     return std::exchange(m_datagrams, {});
 }
 
-auto QuotaHolder::noteDemand(Account &account, TimePoint now) -> void
+auto QuotaHolder::updateDemand(Account &account, TimePoint now) -> void
 {
     const auto left = 1 - secondsOf(now - account.demandAt) / DemandSeconds;
     account.demand = account.demand * std::max(left, 0.0) + 1 / DemandSeconds;
     account.demandAt = now;
 }
 
-auto QuotaHolder::dropEnded(Account &account, TimePoint now) -> void
+auto QuotaHolder::removeExpired(Account &account, TimePoint now) -> void
 {
-    std::erase_if(account.lots, [now](const auto &it) { return it.end <= now || it.tokens == 0; });
+    std::erase_if(account.batches,
+                  [now](const auto &it) { return it.end <= now || it.tokens == 0; });
 }
 
 auto QuotaHolder::stockOf(const Account &account) -> std::uint32_t
 {
     auto stock = std::uint32_t{0};
-    for (const auto &it : account.lots)
+    for (const auto &it : account.batches)
         stock += it.tokens;
     return stock;
 }
@@ -74,31 +76,31 @@
 
 auto QuotaHolder::takeToken(Account &account, RequestNumber request) -> bool
 {
-    if (account.lots.empty())
+    if (account.batches.empty())
         return false;
-    auto &lot = account.lots.front();
-    m_decisions.push_back({request, true, Duration::zero(), lot.end});
-    if (--lot.tokens == 0)
-        account.lots.pop_front();
+    auto &batch = account.batches.front();
+    m_decisions.push_back({request, true, Duration::zero(), batch.end});
+    if (--batch.tokens == 0)
+        account.batches.pop_front();
     return true;
 }
 
-auto QuotaHolder::atOnceWithoutGrantor(const config::RequestQuota &quota) const -> double
+auto QuotaHolder::initialShare(const config::RequestQuota &quota) const -> double
 {
-    return (UngrantedRequests + UngrantedSeconds * quota.requestsPerSecond)
+    return (InitialShareRequests + InitialShareSeconds * quota.requestsPerSecond)
            / static_cast<double>(m_hosts);
 }
 
-auto QuotaHolder::takeOfShare(Account &account, RequestNumber request, TimePoint now) -> void
+auto QuotaHolder::takeFromShare(Account &account, RequestNumber request, TimePoint now) -> void
 {
     const auto rate = account.quota.requestsPerSecond / static_cast<double>(m_hosts)
                       * (account.isContended ? ContendedShare : 1.0);
-    const auto gained = rate * secondsOf(now - account.shareFilledAt);
-    const auto most = atOnceWithoutGrantor(account.quota) + 1;
-    account.shareTokens = std::min(account.shareTokens + gained, most);
+    const auto earned = rate * secondsOf(now - account.shareFilledAt);
+    const auto most = initialShare(account.quota) + 1;
+    account.shareTokens = std::min(account.shareTokens + earned, most);
     account.shareFilledAt = now;
     if (account.shareTokens < 1)
-        return refuse(request, SilentRetryAfter);
+        return refuse(request, UnresponsiveRetryAfter);
     account.shareTokens -= 1;
     m_decisions.push_back({request, true, Duration::zero(), now});
 }
@@ -109,11 +111,11 @@
     m_offeredAt = now;
     auto &account = m_accounts[caller];
     account.quota = quota;
-    noteDemand(account, now);
-    dropEnded(account, now);
+    updateDemand(account, now);
+    removeExpired(account, now);
     if (!tryDecide(account, request, now))
         account.waiting.push_back(request);
-    askIfShort(caller, account, now);
+    requestTokensIfNeeded(caller, account, now);
 }
 
 auto QuotaHolder::tryDecide(Account &account, RequestNumber request, TimePoint now) -> bool
@@ -122,34 +124,35 @@
         return true;
     if (now < account.refusedUntil)
         refuse(request, account.refusalWait);
-    else if (account.isGrantorSilent)
-        takeOfShare(account, request, now);
+    else if (account.isUsingEvenShare)
+        takeFromShare(account, request, now);
     else
         return false;
     return true;
 }
 
-auto QuotaHolder::askIfShort(const std::string &caller, Account &account, TimePoint now) -> void
+auto QuotaHolder::requestTokensIfNeeded(const std::string &caller, Account &account, TimePoint now)
+        -> void
 {
-    if (!account.asks.empty() || now < account.refusedUntil)
+    if (!account.pendingRequests.empty() || now < account.refusedUntil)
         return;
-    if (account.isGrantorSilent) {
-        if (now - account.askedAt >= m_settings.probeInterval)
-            ask(caller, account, now, false);
+    if (account.isUsingEvenShare) {
+        if (now - account.requestedAt >= m_settings.probeInterval)
+            requestTokens(caller, account, now, false);
         return;
     }
     const auto target = account.demand * secondsOf(m_settings.stockTime);
     const auto isLow = now >= account.stockPauseEnd && 2.0 * stockOf(account) < std::round(target);
     if (!account.waiting.empty() || isLow)
-        ask(caller, account, now, false);
+        requestTokens(caller, account, now, false);
 }
 
-auto QuotaHolder::ask(const std::string &caller, Account &account, TimePoint now, bool isSecond)
-        -> void
+auto QuotaHolder::requestTokens(const std::string &caller, Account &account, TimePoint now,
+                                bool isRetry) -> void
 {
     const auto grantor = m_choice.of(caller, now);
     if (grantor.empty())
-        return becomeSilent(account, now);
+        return switchToEvenShare(account, now);
     auto message = TokenAsk();
     message.number = m_random();
     message.caller = caller;
@@ -158,12 +161,12 @@
     const auto wanted = static_cast<long>(account.waiting.size()) + std::max(target - stock, 0L);
     message.wanted =
             static_cast<std::uint32_t>(std::clamp(wanted, 1L, static_cast<long>(MostTokens)));
-    const auto hasAskedAnother = !account.grantor.empty() && account.grantor != grantor
-                                 && now - account.askedAt < m_settings.idleTime;
-    message.hasMoved = hasAskedAnother && now - m_startedAt >= MeetingTime;
+    const auto hadOtherGrantor = !account.grantor.empty() && account.grantor != grantor
+                                 && now - account.requestedAt < m_settings.idleTime;
+    message.hasMoved = hadOtherGrantor && now - m_startedAt >= StartupTime;
     account.grantor = grantor;
-    account.askedAt = now;
-    account.asks.push_back({message.number, now, isSecond});
+    account.requestedAt = now;
+    account.pendingRequests.push_back({message.number, now, isRetry});
     m_datagrams.push_back({grantor, writeMessage(message)});
 }
 
@@ -173,19 +176,20 @@
     if (found == m_accounts.end())
         return;
     auto &account = found->second;
-    const auto asked = std::ranges::find(account.asks, grant.number, &OpenAsk::number);
-    if (asked == account.asks.end())
-        return; // Given up meanwhile: its tokens end unspent.
-    const auto end = asked->sentAt + m_settings.tokenLifetime;
-    account.asks.clear();
+    const auto pending =
+            std::ranges::find(account.pendingRequests, grant.number, &PendingRequest::number);
+    if (pending == account.pendingRequests.end())
+        return; // The request has timed out; the tokens expire unspent.
+    const auto end = pending->sentAt + m_settings.tokenLifetime;
+    account.pendingRequests.clear();
     if (!grant.isKnown)
-        becomeSilent(account, now);
+        switchToEvenShare(account, now);
     else
-        account.isGrantorSilent = false;
+        account.isUsingEvenShare = false;
     if (grant.granted > 0)
-        account.lots.push_back({grant.granted, end});
-    dropEnded(account, now);
-    // Tokens that were asked for in advance and not granted are no reason to refuse anybody.
+        account.batches.push_back({grant.granted, end});
+    removeExpired(account, now);
+    // Requests are refused only for tokens that waiting requests need, not for tokens requested in advance.
     const auto isShort = stockOf(account) < account.waiting.size();
     const auto pause = std::min(grant.wait, m_settings.mostRefusalTime);
     account.stockPauseEnd = now + pause;
@@ -194,7 +198,7 @@
         account.refusedUntil = now + pause;
     }
     serveWaiting(account, now);
-    askIfShort(grant.caller, account, now);
+    requestTokensIfNeeded(grant.caller, account, now);
 }
 
 auto QuotaHolder::serveWaiting(Account &account, TimePoint now) -> void
@@ -208,66 +212,66 @@
     const auto found = m_accounts.find(caller);
     if (found == m_accounts.end() || tokenEnd <= now)
         return;
-    auto &lots = found->second.lots;
+    auto &batches = found->second.batches;
     const auto isLater = [tokenEnd](const auto &it) { return it.end > tokenEnd; };
-    lots.insert(std::ranges::find_if(lots, isLater), {1, tokenEnd});
+    batches.insert(std::ranges::find_if(batches, isLater), {1, tokenEnd});
     serveWaiting(found->second, now);
 }
 
-/// The grantor said nothing: it is asked once more, and then done without.
-auto QuotaHolder::noteSilence(const std::string &caller, Account &account, TimePoint now) -> void
+auto QuotaHolder::handleTimeout(const std::string &caller, Account &account, TimePoint now) -> void
 {
-    const auto wasSecond = account.asks.back().isSecond;
-    if (account.isGrantorSilent) {
-        account.asks.clear(); // A probe; the next one follows with the next request.
+    const auto wasRetry = account.pendingRequests.back().isRetry;
+    if (account.isUsingEvenShare) {
+        // The timed out request was a probe; the next offered request sends the next one.
+        account.pendingRequests.clear();
         return;
     }
-    if (!wasSecond)
-        return ask(caller, account, now, true);
-    becomeSilent(account, now);
+    if (!wasRetry)
+        return requestTokens(caller, account, now, true);
+    switchToEvenShare(account, now);
 }
 
-auto QuotaHolder::becomeSilent(Account &account, TimePoint now) -> void
+auto QuotaHolder::switchToEvenShare(Account &account, TimePoint now) -> void
 {
-    account.asks.clear();
-    if (std::exchange(account.isGrantorSilent, true))
+    account.pendingRequests.clear();
+    if (std::exchange(account.isUsingEvenShare, true))
         return;
-    account.isContended = now - account.refusedUntil < ContentionMemory;
-    // Rounded at random, so that all hosts together have what is meant, however small each one's part is.
-    account.shareTokens = std::floor(atOnceWithoutGrantor(account.quota) + randomUnit(m_random));
+    account.isContended = now - account.refusedUntil < ContentionTime;
+    // Random rounding gives all hosts together the intended sum, even if each host's part is below one token.
+    account.shareTokens = std::floor(initialShare(account.quota) + randomUnit(m_random));
     account.shareFilledAt = now;
     serveWaiting(account, now);
 }
 
-auto QuotaHolder::isUnanswered(const Account &account, TimePoint now, Duration timeout) -> bool
+auto QuotaHolder::hasTimedOut(const Account &account, TimePoint now, Duration timeout) -> bool
 {
-    return !account.asks.empty() && now - account.asks.back().sentAt >= timeout;
+    return !account.pendingRequests.empty()
+           && now - account.pendingRequests.back().sentAt >= timeout;
 }
 
 auto QuotaHolder::tick(TimePoint now) -> void
 {
     for (auto &[caller, account] : m_accounts) {
-        if (isUnanswered(account, now, m_settings.answerTimeout))
-            noteSilence(caller, account, now);
-        returnEnding(caller, account, now);
+        if (hasTimedOut(account, now, m_settings.answerTimeout))
+            handleTimeout(caller, account, now);
+        returnExpiring(caller, account, now);
     }
-    if (now - m_forgotAt < ForgetInterval)
+    if (now - m_cleanedUpAt < CleanupInterval)
         return;
-    m_forgotAt = now;
+    m_cleanedUpAt = now;
     std::erase_if(m_accounts, [&](const auto &it) {
         return it.second.waiting.empty() && now - it.second.demandAt > m_settings.idleTime;
     });
 }
 
-/// Tokens that will not be spent in time serve requests at other hosts.
-auto QuotaHolder::returnEnding(const std::string &caller, Account &account, TimePoint now) -> void
+auto QuotaHolder::returnExpiring(const std::string &caller, Account &account, TimePoint now) -> void
 {
     auto returned = std::uint32_t{0};
-    for (auto &it : account.lots) {
+    for (auto &it : account.batches) {
         if (it.end > now && it.end - now <= ReturnMargin)
             returned += std::exchange(it.tokens, 0U);
     }
-    dropEnded(account, now);
+    removeExpired(account, now);
     if (returned == 0 || account.grantor.empty())
         return;
     auto message = TokenAsk();
