--- a/tests/fuzz/quota/main.cpp
+++ b/tests/fuzz/quota/main.cpp
@@ -1,4 +1,4 @@
-// Datagrams between hosts and the grantors of callers' quotas, after the check of their HMAC.
+// Fuzzes the datagrams between hosts and the grantors of callers' quotas, as they are read after the check of their HMAC.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
@@ -34,7 +34,7 @@
         else
             holder.receive(std::get<TokenGrant>(message), start + std::chrono::seconds(1));
     } catch (const InputError &) {
-        return 0; // The one error that the service expects.
+        return 0; // The service catches only this error.
     }
     holder.tick(start + std::chrono::seconds(2));
     return 0;
--- a/tests/measure/quota/main.cpp
+++ b/tests/measure/quota/main.cpp
@@ -1,5 +1,5 @@
-// Two ways of keeping a caller's quota over all hosts, against the same load: an even share of it at each host, and tokens that
-// one grantor for each caller lends for a short time. On a virtual clock.
+// Compares two ways to enforce a caller's quota over all hosts under the same load, on a virtual clock: an even share of the
+// quota at each host, and tokens that one grantor for each caller grants for a short time.
 #include <cstdio>
 #include <cstdlib>
 #include <string>
@@ -10,22 +10,22 @@
 using namespace stairspur;
 using namespace stairspur::quota;
 
-/// Of UDP, IP and the datagram's topic, for each datagram.
+/// Bytes of UDP, IP and the topic in each datagram.
 static constexpr auto FrameBytes = 48.0;
-/// A quota lies this far above what its caller usually sends.
+/// Ratio of a quota to the usual demand of its caller.
 static constexpr auto QuotaOverUsual = 1.6;
 static constexpr auto Seconds = 12;
 
 struct Result
 {
-    double window = 0;   ///< The fullest window of any caller by what it may hold.
-    double refused = 0;  ///< Share of the requests that were refused.
-    double delayed = 0;  ///< Share that waited for more than ten milliseconds.
-    double messages = 0; ///< A host and second.
-    double bytes = 0;    ///< The same.
+    double window = 0;   ///< Fullest window of any caller, relative to its maximum.
+    double refused = 0;  ///< Share of refused requests.
+    double delayed = 0;  ///< Share of requests that waited for more than 10 ms.
+    double messages = 0; ///< Per host and second.
+    double bytes = 0;    ///< Per host and second.
 };
 
-/// A few large callers and many small ones, as they are met: rates fall with the rank.
+/// Returns the quotas of a few large callers and many small ones: rates fall with the rank, which is typical.
 static auto quotasOf(int callers) -> std::vector<config::RequestQuota>
 {
     auto quotas = std::vector<config::RequestQuota>();
@@ -34,7 +34,8 @@
     return quotas;
 }
 
-/// Demand by what a caller usually sends: `times` for the first and one in the middle, `others` for the rest.
+/// Returns a caller's demand relative to its usual demand: `times` for the first caller and one in the middle, `others` for the
+/// rest.
 static auto factorOf(int index, int callers, double times, double others) -> double
 {
     return index == 0 || index == callers / 2 ? times : others;
@@ -54,7 +55,7 @@
     auto offered = 0.0;
     for (const auto &it : virtualHosts.callers()) {
         result.window = std::max(result.window, static_cast<double>(it.window.most)
-                                                        / QuotaPromise::most(it.quota));
+                                                        / QuotaGuarantee::maxRequests(it.quota));
         result.refused += static_cast<double>(it.refused);
         result.delayed += static_cast<double>(it.delayed);
         offered += static_cast<double>(it.offered);
@@ -68,7 +69,7 @@
     return result;
 }
 
-/// One host's part where each has an even share for itself.
+/// Token bucket of one host's even share.
 struct ShareBucket
 {
     double tokens;
@@ -106,11 +107,11 @@
                     continue;
                 }
                 bucket.tokens -= 1;
-                window.didRun(now);
+                window.addRun(now);
             }
         }
-        result.window = std::max(result.window,
-                                 static_cast<double>(window.most) / QuotaPromise::most(quota));
+        result.window = std::max(result.window, static_cast<double>(window.most)
+                                                        / QuotaGuarantee::maxRequests(quota));
     }
     result.refused /= offered;
     return result;
@@ -133,7 +134,7 @@
     for (const auto hosts : {15U, 68U, 200U, 2000U}) {
         for (const auto callers : {76, 10'000}) {
             if (callers > 76 && hosts != 200)
-                continue; // One size shows what callers cost.
+                continue; // The cost of many callers is measured with one number of hosts.
             for (const auto &load : loads) {
                 const auto shares = measureShares(hosts, callers, load.times, load.others);
                 const auto tokens = measureTokens(hosts, callers, load.times, load.others);
--- a/tests/quota/TestQuotaGuarantee.cpp
+++ b/tests/quota/TestQuotaGuarantee.cpp
@@ -4,90 +4,92 @@
 
 #include "VirtualHosts.h"
 
-/// What a caller may send holds over all hosts together, whatever happens to hosts and links; and below it nothing is refused.
+/// Tests that a caller's quota limits its requests over all hosts together in spite of faults of hosts and links, and that no
+/// request within the quota is refused.
 using namespace stairspur;
 using namespace stairspur::quota;
 using namespace std::chrono_literals;
 
 static constexpr auto QuotaSeeds = {1U, 2U, 3U};
 
-/// Callers as they are met: a few large ones, many with less than one request a second on a host, one without a burst.
+/// Typical callers: a large one, small ones with less than one request per second on each host, one without a burst.
 static constexpr auto Quotas =
         std::array{config::RequestQuota{353, 353}, config::RequestQuota{27, 27},
                    config::RequestQuota{3, 3}, config::RequestQuota{40, 0}};
 
-/// Against what a caller usually sends, which is the quota by 1.6.
+/// Returns `times` the usual demand of a caller, in requests per second. A quota is 1.6 times the usual demand.
 static auto demandOf(const config::RequestQuota &quota, double times) -> double
 {
     return quota.requestsPerSecond / 1.6 * times;
 }
 
 template <typename Policy>
-using Play = std::function<void(VirtualHosts<Policy> &)>;
+using Scenario = std::function<void(VirtualHosts<Policy> &)>;
 
 struct Fault
 {
     const char *name;
-    Play<GrantorPolicy> play;
+    Scenario<GrantorPolicy> scenario;
 };
 
-/// Deaths are noticed after about this time.
-static constexpr auto Detection = 2s;
+/// Approximate time after which a crash is detected.
+static constexpr auto DetectionTime = 2s;
 
 template <typename Policy>
-static auto killATenth(VirtualHosts<Policy> &hosts, std::size_t n) -> void
+static auto crashATenth(VirtualHosts<Policy> &hosts, std::size_t n) -> void
 {
     for (auto index = std::size_t{0}; index < n / 10 + 1; ++index)
-        hosts.kill(index);
-    hosts.run(Detection);
-    hosts.shareView();
+        hosts.crash(index);
+    hosts.run(DetectionTime);
+    hosts.updateViews();
     hosts.run(5s);
 }
 
 template <typename Policy>
-static auto cutInTwo(VirtualHosts<Policy> &hosts, std::size_t n) -> void
+static auto partition(VirtualHosts<Policy> &hosts, std::size_t n) -> void
 {
-    hosts.cutAt(n / 3);
-    hosts.run(Detection);
-    hosts.shareView();
+    hosts.partitionAt(n / 3);
+    hosts.run(DetectionTime);
+    hosts.updateViews();
     hosts.run(6s);
-    hosts.cutAt(0);
+    hosts.partitionAt(0);
     hosts.run(1s);
-    hosts.shareView();
+    hosts.updateViews();
     hosts.run(6s);
 }
 
-/// Hosts of another failure domain are not given up while the domain as a whole is out of reach.
+/// Partitions the hosts without an update of their views: hosts of another failure domain stay alive in the membership table
+/// while the domain as a whole is unreachable.
 template <typename Policy>
-static auto cutUnnoticed(VirtualHosts<Policy> &hosts, std::size_t border) -> void
+static auto partitionUndetected(VirtualHosts<Policy> &hosts, std::size_t border) -> void
 {
-    hosts.cutAt(border);
+    hosts.partitionAt(border);
     hosts.run(6s);
-    hosts.cutAt(0);
+    hosts.partitionAt(0);
     hosts.run(2s);
 }
 
-/// One side gives the other up, and is not given up itself.
+/// Partitions the hosts; one side removes the other from its view, but not the reverse.
 template <typename Policy>
-static auto cutNoticedByOneSide(VirtualHosts<Policy> &hosts, std::size_t border) -> void
+static auto partitionDetectedByOneSide(VirtualHosts<Policy> &hosts, std::size_t border) -> void
 {
-    hosts.cutAt(border);
-    hosts.run(Detection);
-    hosts.shareView(border);
+    hosts.partitionAt(border);
+    hosts.run(DetectionTime);
+    hosts.updateViews(border);
     hosts.run(3s);
-    hosts.cutAt(0);
+    hosts.partitionAt(0);
     hosts.run(1s);
-    hosts.shareView();
+    hosts.updateViews();
     hosts.run(4s);
 }
 
 template <typename Policy>
-static auto cutOffAThird(VirtualHosts<Policy> &hosts, std::size_t n) -> void
+static auto isolateAThird(VirtualHosts<Policy> &hosts, std::size_t n) -> void
 {
     for (auto index = std::size_t{0}; index < n / 3; ++index)
-        hosts.cutOff(index, true);
-    hosts.run(Detection);
-    hosts.shareView();
+        hosts.setIsolated(index, true);
+    hosts.run(DetectionTime);
+    hosts.updateViews();
     hosts.run(6s);
 }
 
@@ -95,12 +97,12 @@
 static auto restartAll(VirtualHosts<Policy> &hosts, std::size_t n) -> void
 {
     for (auto index = std::size_t{0}; index < n; ++index)
-        hosts.kill(index);
+        hosts.crash(index);
     hosts.run(1s);
     for (auto index = std::size_t{0}; index < n; ++index)
         hosts.start(index);
     hosts.run(1s);
-    hosts.shareView();
+    hosts.updateViews();
     hosts.run(6s);
 }
 
@@ -124,20 +126,21 @@
                  hosts.lossShare = 0.1;
                  hosts.run(8s);
              }},
-            {"a tenth ends", [n](auto &hosts) { killATenth(hosts, n); }},
-            {"cut in two", [n](auto &hosts) { cutInTwo(hosts, n); }},
-            {"a third behind a cut that is not noticed",
-             [n](auto &hosts) { cutUnnoticed(hosts, n / 3); }},
-            {"two thirds behind it", [n](auto &hosts) { cutUnnoticed(hosts, n - n / 3); }},
-            {"a cut that one side notices",
-             [n](auto &hosts) { cutNoticedByOneSide(hosts, n / 3); }},
-            {"a third is cut off", [n](auto &hosts) { cutOffAThird(hosts, n); }},
+            {"a tenth crashes", [n](auto &hosts) { crashATenth(hosts, n); }},
+            {"partition", [n](auto &hosts) { partition(hosts, n); }},
+            {"undetected partition of a third",
+             [n](auto &hosts) { partitionUndetected(hosts, n / 3); }},
+            {"undetected partition of two thirds",
+             [n](auto &hosts) { partitionUndetected(hosts, n - n / 3); }},
+            {"partition detected by one side",
+             [n](auto &hosts) { partitionDetectedByOneSide(hosts, n / 3); }},
+            {"a third is isolated", [n](auto &hosts) { isolateAThird(hosts, n); }},
             {"all restart", [n](auto &hosts) { restartAll(hosts, n); }},
             {"some are paused", [n](auto &hosts) { pauseSome(hosts, n); }},
     };
 }
 
-Test(QuotaPromise, noMoreThanTheQuotaRunsWhateverACallerSends)
+Test(QuotaGuarantee, quotaIsNeverExceeded)
 {
     for (const auto n : {15U, 68U}) {
         for (const auto &fault : faults(n)) {
@@ -150,18 +153,19 @@
                 for (auto &it : hosts.callers())
                     it.demand = demandOf(it.quota, times);
                 hosts.run(2s);
-                fault.play(hosts);
+                fault.scenario(hosts);
                 for (const auto &it : hosts.callers())
-                    cr_expect_leq(static_cast<double>(it.window.most), QuotaPromise::most(it.quota),
+                    cr_expect_leq(static_cast<double>(it.window.most),
+                                  QuotaGuarantee::maxRequests(it.quota),
                                   "%u hosts, %s, %.1f times, rate %.0f: %zu of %.0f", n, fault.name,
                                   times, it.quota.requestsPerSecond, it.window.most,
-                                  QuotaPromise::most(it.quota));
+                                  QuotaGuarantee::maxRequests(it.quota));
             }
         }
     }
 }
 
-Test(QuotaPromise, nothingIsRefusedBelowTheQuota)
+Test(QuotaGuarantee, noRequestIsRefusedBelowTheQuota)
 {
     for (const auto n : {15U, 68U}) {
         for (const auto seed : QuotaSeeds) {
@@ -177,9 +181,9 @@
     }
 }
 
-/// Its rate and a fifth of its burst a caller may send for as long as it likes: in five seconds that is its rate for five and its
-/// burst once.
-Test(QuotaPromise, aLongSurgeWithinRateAndBurstIsServedWhole)
+/// A caller may permanently send its rate and a fifth of its burst each second: in five seconds that is its rate for five
+/// seconds and its burst once.
+Test(QuotaGuarantee, longSurgeWithinRateAndBurstIsAdmitted)
 {
     for (const auto seed : QuotaSeeds) {
         auto hosts = VirtualHosts<>(68, seed);
@@ -190,8 +194,8 @@
     }
 }
 
-/// A caller that sends too much still has what it pays for.
-Test(QuotaPromise, aCallerAboveItsQuotaIsServedItsQuota)
+/// A caller that exceeds its quota must still get nearly all of its rate.
+Test(QuotaGuarantee, callerAboveItsQuotaGetsItsQuota)
 {
     auto hosts = VirtualHosts<>(68, 1);
     for (const auto &quota : Quotas)
@@ -205,8 +209,8 @@
                       "rate %.0f: %zu", it.quota.requestsPerSecond, it.admitted);
 }
 
-/// What the hosts refuse for other reasons does not use the quota up.
-Test(QuotaPromise, whatDoesNotRunIsGivenBack)
+/// Requests that the hosts refuse for other reasons must not use up the quota.
+Test(QuotaGuarantee, tokensOfRefusedRequestsAreReturned)
 {
     auto hosts = VirtualHosts<>(68, 1);
     auto &caller = hosts.addCaller("c", {100, 100}, 150);
@@ -215,40 +219,41 @@
     cr_expect_eq(caller.refused, 0, "%zu of %zu", caller.refused, caller.offered);
 }
 
-struct GrantsWholeQuotaOnEachSide : GrantorPolicy
+struct GrantsFullQuotaOnEachSide : GrantorPolicy
 {
     static constexpr auto SharesByHostsSeen = false;
 };
 
-struct TakesOverFull : GrantorPolicy
+struct StartsFullAtTakeover : GrantorPolicy
 {
     static constexpr auto TakesOverEmpty = false;
 };
 
 template <typename Policy>
-static auto fullestWindow(const std::function<void(VirtualHosts<Policy> &)> &play) -> double
+static auto fullestWindowOf(const std::function<void(VirtualHosts<Policy> &)> &scenario) -> double
 {
     auto hosts = VirtualHosts<Policy>(68, 1);
     auto &caller = hosts.addCaller("c", {353, 353}, demandOf({353, 353}, 7.5));
     hosts.run(5s);
-    play(hosts);
+    scenario(hosts);
     return static_cast<double>(caller.window.most);
 }
 
-/// A third of the hosts comes back and takes its callers over from others while these callers begin to send too much.
+/// Runs a takeover: a third of the hosts restarts and takes over its callers from other grantors while these callers exceed
+/// their quotas. Returns the requests in the fullest window.
 template <typename Policy>
-static auto fullestWindowOfATakeover() -> double
+static auto fullestWindowAtTakeover() -> double
 {
     auto hosts = VirtualHosts<Policy>(68, 1);
     for (auto n = 0; n < 12; ++n)
         hosts.addCaller("c" + std::to_string(n), {353, 353}, 0);
     for (auto index = std::size_t{0}; index < 23; ++index)
-        hosts.kill(index);
-    hosts.shareView();
+        hosts.crash(index);
+    hosts.updateViews();
     hosts.run(2s);
     for (auto index = std::size_t{0}; index < 23; ++index)
         hosts.start(index);
-    hosts.shareView();
+    hosts.updateViews();
     hosts.run(1s);
     for (auto &it : hosts.callers())
         it.demand = demandOf(it.quota, 7.5);
@@ -259,17 +264,17 @@
     return static_cast<double>(most);
 }
 
-Test(QuotaPromise, eachGuardIsNoticedWhenItIsMissing)
+Test(QuotaGuarantee, quotaIsExceededWithoutEachSafeguard)
 {
-    const auto most = QuotaPromise::most({353, 353});
+    const auto most = QuotaGuarantee::maxRequests({353, 353});
     cr_expect_gt(
-            fullestWindow<GrantsWholeQuotaOnEachSide>([](auto &hosts) { cutInTwo(hosts, 68); }),
+            fullestWindowOf<GrantsFullQuotaOnEachSide>([](auto &hosts) { partition(hosts, 68); }),
             most);
-    cr_expect_gt(fullestWindowOfATakeover<TakesOverFull>(), most);
-    cr_expect_leq(fullestWindowOfATakeover<GrantorPolicy>(), most);
+    cr_expect_gt(fullestWindowAtTakeover<StartsFullAtTakeover>(), most);
+    cr_expect_leq(fullestWindowAtTakeover<GrantorPolicy>(), most);
 }
 
-Test(QuotaPromise, aLowerLimitBindsAWindowLater)
+Test(QuotaGuarantee, loweredQuotaAppliesAfterOneWindow)
 {
     auto hosts = VirtualHosts<>(68, 1);
     auto &caller = hosts.addCaller("c", {353, 353}, demandOf({353, 353}, 1.5));
@@ -278,5 +283,6 @@
     hosts.run(1s);
     caller.window = {};
     hosts.run(10s);
-    cr_expect_leq(static_cast<double>(caller.window.most), QuotaPromise::most(caller.quota));
+    cr_expect_leq(static_cast<double>(caller.window.most),
+                  QuotaGuarantee::maxRequests(caller.quota));
 }
--- a/tests/quota/TestQuotaHolder.cpp
+++ b/tests/quota/TestQuotaHolder.cpp
@@ -10,132 +10,136 @@
 static constexpr auto Now = TimePoint{1h};
 static constexpr auto Quota = config::RequestQuota{100, 100};
 
-/// A holder among three hosts, and what it asked for last.
-struct Holder
+/// One of three hosts.
+struct TestHost
 {
-    QuotaHolder state{QuotaSettings(), 7, Now};
+    QuotaHolder limiter{QuotaSettings(), 7, Now};
 
-    Holder() { state.setNodes({{"a"}, {"b"}, {"c"}}, Now); }
+    TestHost() { limiter.setNodes({{"a"}, {"b"}, {"c"}}, Now); }
 
-    auto lastAsk() -> TokenAsk
+    /// Returns the last request for tokens that it sent.
+    auto lastRequest() -> TokenAsk
     {
-        const auto sent = state.takeDatagrams();
+        const auto sent = limiter.takeDatagrams();
         cr_assert(!sent.empty());
         return std::get<TokenAsk>(readMessage(sent.back().payload));
     }
 
     auto grant(const TokenAsk &ask, std::uint32_t tokens, Duration wait, TimePoint now) -> void
     {
-        state.receive({ask.number, ask.caller, tokens, wait, true}, now);
+        limiter.receive({ask.number, ask.caller, tokens, wait, true}, now);
     }
 };
 
-Test(QuotaHolder, aRequestWaitsForTheGrantorsTokens)
+Test(QuotaHolder, requestWaitsForGrant)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    cr_assert(holder.state.takeDecisions().empty());
-    const auto ask = holder.lastAsk();
+    auto host = TestHost();
+    host.limiter.offer(1, "kitchen", Quota, Now);
+    cr_assert(host.limiter.takeDecisions().empty());
+    const auto ask = host.lastRequest();
     cr_assert_eq(ask.caller, "kitchen");
     cr_assert_eq(ask.wanted, 1);
-    holder.grant(ask, 1, 0us, Now + 2ms);
-    const auto decisions = holder.state.takeDecisions();
+    host.grant(ask, 1, 0us, Now + 2ms);
+    const auto decisions = host.limiter.takeDecisions();
     cr_assert_eq(decisions.size(), 1);
     cr_assert(decisions[0].isAdmitted);
-    cr_assert(decisions[0].tokenEnd == Now + 300ms, "it counts from the asking");
+    cr_assert(decisions[0].tokenEnd == Now + 300ms,
+              "the expiry counts from the request for tokens");
 }
 
-Test(QuotaHolder, beyondTheQuotaItIsRefusedAtOnceWithATrueTime)
+Test(QuotaHolder, requestsBeyondTheQuotaAreRefusedWithTheGrantorsRetryTime)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    holder.grant(holder.lastAsk(), 0, 400ms, Now + 2ms);
-    holder.state.offer(2, "kitchen", Quota, Now + 3ms);
-    const auto decisions = holder.state.takeDecisions();
+    auto host = TestHost();
+    host.limiter.offer(1, "kitchen", Quota, Now);
+    host.grant(host.lastRequest(), 0, 400ms, Now + 2ms);
+    host.limiter.offer(2, "kitchen", Quota, Now + 3ms);
+    const auto decisions = host.limiter.takeDecisions();
     cr_assert_eq(decisions.size(), 2);
     for (const auto &it : decisions) {
         cr_expect(!it.isAdmitted);
         cr_expect(it.retryAfter == 400ms);
     }
-    cr_assert(holder.state.takeDatagrams().empty(), "nobody is asked again so soon");
+    cr_assert(host.limiter.takeDatagrams().empty(),
+              "no request for tokens is sent before the retry time");
 }
 
-Test(QuotaHolder, aTokenServesAnotherRequestWhenItsOwnDidNotRun)
+Test(QuotaHolder, returnedTokenAdmitsAnotherRequest)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    holder.grant(holder.lastAsk(), 1, 0us, Now + 2ms);
-    const auto first = holder.state.takeDecisions().at(0);
-    holder.state.giveBack("kitchen", first.tokenEnd, Now + 50ms);
-    holder.state.offer(2, "kitchen", Quota, Now + 60ms);
-    cr_assert(holder.state.takeDecisions().at(0).isAdmitted);
-    holder.state.giveBack("kitchen", first.tokenEnd, Now + 301ms);
-    holder.state.offer(3, "kitchen", Quota, Now + 302ms);
-    cr_assert(holder.state.takeDecisions().empty(), "a token that has ended serves nobody");
+    auto host = TestHost();
+    host.limiter.offer(1, "kitchen", Quota, Now);
+    host.grant(host.lastRequest(), 1, 0us, Now + 2ms);
+    const auto first = host.limiter.takeDecisions().at(0);
+    host.limiter.giveBack("kitchen", first.tokenEnd, Now + 50ms);
+    host.limiter.offer(2, "kitchen", Quota, Now + 60ms);
+    cr_assert(host.limiter.takeDecisions().at(0).isAdmitted);
+    host.limiter.giveBack("kitchen", first.tokenEnd, Now + 301ms);
+    host.limiter.offer(3, "kitchen", Quota, Now + 302ms);
+    cr_assert(host.limiter.takeDecisions().empty(), "an expired token admits no request");
 }
 
-Test(QuotaHolder, tokensThatNobodyWantsGoBack)
+Test(QuotaHolder, unusedTokensAreReturnedBeforeTheyExpire)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    holder.grant(holder.lastAsk(), 5, 0us, Now + 2ms);
-    holder.state.takeDatagrams();
-    holder.state.tick(Now + 260ms);
-    cr_assert_eq(holder.lastAsk().returned, 4);
+    auto host = TestHost();
+    host.limiter.offer(1, "kitchen", Quota, Now);
+    host.grant(host.lastRequest(), 5, 0us, Now + 2ms);
+    host.limiter.takeDatagrams();
+    host.limiter.tick(Now + 260ms);
+    cr_assert_eq(host.lastRequest().returned, 4);
 }
 
-/// Behind a cut a host goes on with its even share, and no more.
-Test(QuotaHolder, withoutAGrantorItAdmitsItsEvenShare)
+/// A host whose grantor is unreachable must admit its even share of the quota, and no more.
+Test(QuotaHolder, evenShareIsAdmittedWithoutGrantor)
 {
-    auto holder = Holder();
+    auto host = TestHost();
     auto admitted = 0;
     for (auto n = 0; n < 2000; ++n) {
         const auto now = Now + n * 5ms;
-        holder.state.offer(n, "kitchen", Quota, now);
-        holder.state.tick(now);
-        for (const auto &it : holder.state.takeDecisions())
+        host.limiter.offer(n, "kitchen", Quota, now);
+        host.limiter.tick(now);
+        for (const auto &it : host.limiter.takeDecisions())
             admitted += it.isAdmitted ? 1 : 0;
     }
-    cr_assert(admitted > 300 && admitted < 350, "%d in 10 s, a third of 100 a second is due",
+    cr_assert(admitted > 300 && admitted < 350, "%d in 10 s, expected a third of 100 per second",
               admitted);
 }
 
-Test(QuotaHolder, aGrantorThatIsBackGrantsAgain)
+Test(QuotaHolder, tokensOfAReachableGrantorAreUsedAgain)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    holder.state.tick(Now + 100ms);
-    holder.state.tick(Now + 200ms);
-    cr_assert_eq(holder.state.takeDecisions().size(), 1, "it was decided without the grantor");
-    holder.state.takeDatagrams();
-    holder.state.offer(2, "kitchen", Quota, Now + 500ms);
-    holder.state.takeDecisions();
-    holder.grant(holder.lastAsk(), 9, 0us, Now + 501ms);
-    holder.state.offer(3, "kitchen", Quota, Now + 502ms);
-    cr_assert(holder.state.takeDecisions().at(0).isAdmitted);
+    auto host = TestHost();
+    host.limiter.offer(1, "kitchen", Quota, Now);
+    host.limiter.tick(Now + 100ms);
+    host.limiter.tick(Now + 200ms);
+    cr_assert_eq(host.limiter.takeDecisions().size(), 1,
+                 "the request was decided without the grantor");
+    host.limiter.takeDatagrams();
+    host.limiter.offer(2, "kitchen", Quota, Now + 500ms);
+    host.limiter.takeDecisions();
+    host.grant(host.lastRequest(), 9, 0us, Now + 501ms);
+    host.limiter.offer(3, "kitchen", Quota, Now + 502ms);
+    cr_assert(host.limiter.takeDecisions().at(0).isAdmitted);
 }
 
-Test(QuotaHolder, aLateOrForgedGrantIsNotTaken)
+Test(QuotaHolder, lateOrForgedGrantIsIgnored)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    auto ask = holder.lastAsk();
+    auto host = TestHost();
+    host.limiter.offer(1, "kitchen", Quota, Now);
+    auto ask = host.lastRequest();
     ask.number += 1;
-    holder.grant(ask, 100, 0us, Now + 2ms);
-    cr_assert(holder.state.takeDecisions().empty());
+    host.grant(ask, 100, 0us, Now + 2ms);
+    cr_assert(host.limiter.takeDecisions().empty());
     ask.number -= 1;
-    holder.grant(ask, 100, 0us, Now + 301ms);
-    cr_assert(holder.state.takeDecisions().empty(), "its tokens have ended on the way");
+    host.grant(ask, 100, 0us, Now + 301ms);
+    cr_assert(host.limiter.takeDecisions().empty(), "its tokens had expired on arrival");
 }
 
-Test(QuotaHolder, withoutAnyNodeItStillDecides)
+Test(QuotaHolder, requestIsDecidedWithoutAnyNode)
 {
-    auto state = QuotaHolder(QuotaSettings(), 7, Now);
-    state.offer(1, "kitchen", Quota, Now);
-    cr_assert_eq(state.takeDecisions().size(), 1);
+    auto limiter = QuotaHolder(QuotaSettings(), 7, Now);
+    limiter.offer(1, "kitchen", Quota, Now);
+    cr_assert_eq(limiter.takeDecisions().size(), 1);
 }
 
-Test(QuotaMessages, whatCannotBeReadIsRefused)
+Test(QuotaMessages, invalidMessagesAreRejected)
 {
     const auto ask = writeMessage(TokenAsk{1, "kitchen", 2, 3, true});
     const auto read = std::get<TokenAsk>(readMessage(ask));
--- a/tests/quota/VirtualHosts.h
+++ b/tests/quota/VirtualHosts.h
@@ -17,28 +17,29 @@
 
 namespace stairspur::quota {
 
-/// What quotas promise, and to what they are held: in any window no more than this may run.
-struct QuotaPromise
+/// The guarantee of a quota: the requests that may run in any window.
+struct QuotaGuarantee
 {
     static constexpr auto WindowSeconds = 5.0;
     static constexpr auto Excess = 0.1;
     static constexpr auto Slack = 20.0;
 
-    static auto most(const config::RequestQuota &quota) -> double
+    /// Returns the maximum number of requests in a window.
+    static auto maxRequests(const config::RequestQuota &quota) -> double
     {
         return (quota.requestsPerSecond * WindowSeconds + quota.burst) * (1 + Excess) + Slack;
     }
 };
 
-/// Counts the requests of one caller and finds its fullest window.
+/// Counts the requests of one caller and records its fullest window.
 class WindowCounter
 {
 public:
-    auto didRun(TimePoint now) -> void
+    auto addRun(TimePoint now) -> void
     {
         m_runs.push_back(now);
         const auto start =
-                now - Duration{static_cast<Duration::rep>(QuotaPromise::WindowSeconds * 1e6)};
+                now - Duration{static_cast<Duration::rep>(QuotaGuarantee::WindowSeconds * 1e6)};
         while (m_runs.front() <= start)
             m_runs.pop_front();
         most = std::max<std::uint64_t>(most, m_runs.size());
@@ -50,21 +51,21 @@
     std::deque<TimePoint> m_runs;
 };
 
-/// A caller's demand over all hosts together, and what became of it.
+/// A caller's demand over all hosts together, and the outcomes of its requests.
 struct VirtualCaller
 {
     std::string name;
     config::RequestQuota quota;
-    double demand = 0; ///< Requests a second, now.
+    double demand = 0; ///< Current requests per second.
     WindowCounter window{};
     std::uint64_t offered = 0;
     std::uint64_t admitted = 0;
     std::uint64_t refused = 0;
-    std::uint64_t delayed = 0; ///< Decided after more than ten milliseconds.
+    std::uint64_t delayed = 0; ///< Requests decided after more than ten milliseconds.
 };
 
-/// Hosts with holders and grantors on a virtual clock and network. Each host has its own clock and its own view of who is
-/// alive, which lags behind by a detection time.
+/// Simulated hosts with holders and grantors, on a virtual clock and network. Each host has its own clock and its own view of
+/// the alive hosts, which is updated by updateViews() only.
 template <typename Policy = GrantorPolicy>
 class VirtualHosts
 {
@@ -75,7 +76,7 @@
     {
         for (auto index = std::size_t{0}; index < hosts; ++index)
             start(index);
-        shareView();
+        updateViews();
         run(Duration{3'000'000});
     }
 
@@ -87,7 +88,7 @@
     [[nodiscard]] auto callers() -> std::deque<VirtualCaller> & { return m_callers; }
     [[nodiscard]] auto now() const -> TimePoint { return m_now; }
 
-    /// A process that starts with nothing; it knows itself alone.
+    /// Starts a process without any state, in whose view only itself is alive.
     auto start(std::size_t index) -> void
     {
         auto &host = m_hosts[index];
@@ -100,25 +101,28 @@
         setView(index, {index});
     }
 
-    auto kill(std::size_t index) -> void { m_hosts[index].isAlive = false; }
+    auto crash(std::size_t index) -> void { m_hosts[index].isAlive = false; }
     auto pause(std::size_t index, bool isPaused) -> void { m_hosts[index].isPaused = isPaused; }
 
-    /// Hosts on the two sides of `border` cannot hear each other; 0: no cut.
-    auto cutAt(std::size_t border) -> void { m_border = border; }
-    auto cutOff(std::size_t index, bool isCutOff) -> void { m_hosts[index].isCutOff = isCutOff; }
+    /// Drops messages between hosts on the two sides of `border`; 0 ends the partition.
+    auto partitionAt(std::size_t border) -> void { m_partitionBorder = border; }
+    auto setIsolated(std::size_t index, bool isIsolated) -> void
+    {
+        m_hosts[index].isIsolated = isIsolated;
+    }
 
-    /// Every host learns who is alive and within reach of it, as after the detection time.
-    auto shareView() -> void { shareView(m_hosts.size()); }
+    /// Updates the view of every host with the hosts that are alive and reachable, as after the detection time.
+    auto updateViews() -> void { updateViews(m_hosts.size()); }
 
-    /// The same for the first hosts alone.
-    auto shareView(std::size_t first) -> void
+    /// Updates the view of the first `first` hosts only.
+    auto updateViews(std::size_t first) -> void
     {
         for (auto index = std::size_t{0}; index < first; ++index) {
             if (!m_hosts[index].isAlive)
                 continue;
             auto alive = std::vector<std::size_t>();
             for (auto other = std::size_t{0}; other < m_hosts.size(); ++other) {
-                if (m_hosts[other].isAlive && !isCut(index, other))
+                if (m_hosts[other].isAlive && !isUnreachable(index, other))
                     alive.push_back(other);
             }
             setView(index, alive);
@@ -144,7 +148,7 @@
     Duration latency{1'000};
     std::uint64_t messages = 0;
     std::uint64_t bytes = 0;
-    /// Share of admitted requests that the hosts' admission refuses, so that their tokens come back.
+    /// Share of admitted requests that the hosts' admission refuses, so that their tokens are returned.
     double shedShare = 0;
 
 private:
@@ -156,7 +160,7 @@
         Incarnation startedAtMs = 0;
         bool isAlive = true;
         bool isPaused = false;
-        bool isCutOff = false;
+        bool isIsolated = false;
     };
 
     struct Offer
@@ -174,10 +178,11 @@
         return m_now + m_hosts[index].clockOffset;
     }
 
-    [[nodiscard]] auto isCut(std::size_t a, std::size_t b) const -> bool
+    [[nodiscard]] auto isUnreachable(std::size_t a, std::size_t b) const -> bool
     {
-        const auto isParted = m_border > 0 && (a < m_border) != (b < m_border);
-        return a != b && (isParted || m_hosts[a].isCutOff || m_hosts[b].isCutOff);
+        const auto isPartitioned =
+                m_partitionBorder > 0 && (a < m_partitionBorder) != (b < m_partitionBorder);
+        return a != b && (isPartitioned || m_hosts[a].isIsolated || m_hosts[b].isIsolated);
     }
 
     auto setView(std::size_t index, const std::vector<std::size_t> &alive) -> void
@@ -229,14 +234,14 @@
             return;
         }
         ++caller.admitted;
-        caller.window.didRun(m_now);
+        caller.window.addRun(m_now);
     }
 
     auto send(std::size_t from, std::size_t to, std::string payload) -> void
     {
         ++messages;
         bytes += payload.size();
-        if (from != to && (randomUnit(m_random) < lossShare || isCut(from, to)))
+        if (from != to && (randomUnit(m_random) < lossShare || isUnreachable(from, to)))
             return;
         const auto delay = from == to ? Duration{0} : latency;
         m_events.emplace(m_now + delay, [this, from, to, payload = std::move(payload)] {
@@ -290,11 +295,12 @@
     TimePoint m_now{Duration{1'000'000'000}};
     std::vector<Host> m_hosts;
     std::deque<VirtualCaller> m_callers;
-    std::unordered_map<std::string, double> m_due; ///< Requests that are due, by caller.
+    /// Fractions of requests to be offered, by caller.
+    std::unordered_map<std::string, double> m_due;
     std::unordered_map<RequestNumber, Offer> m_offers;
     std::multimap<TimePoint, std::function<void()>> m_events;
     RequestNumber m_lastRequest = 0;
-    std::size_t m_border = 0;
+    std::size_t m_partitionBorder = 0;
     std::uint64_t m_steps = 0;
 };
 
