--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -29,7 +29,7 @@
 
 /// Grants the tokens of the callers whose grantor this node is. Performs no I/O; belongs to one thread.
 ///
-/// In any five seconds a caller may use its rate for five seconds and its fullRate burst, so that it may permanently use its rate
+/// In any five seconds a caller may use its rate for five seconds and its whole burst, so that it may permanently use its rate
 /// and a fifth of its burst each second. A bucket that fills at the rate alone refused 18 % of a surge within that limit. So
 /// each caller has a bucket that fills at the higher rate, which distributes refusals evenly, and a window of the granted
 /// tokens, which limits their sum.
@@ -94,7 +94,7 @@
 
     /// Number of hosts that a node assumes at least while it has just started. After a restart of all hosts, those of one
     /// failure domain have each other in their membership tables before those of other domains. Without this minimum each
-    /// domain had a grantor that granted the fullRate quota: 2,979 requests of a caller ran in 5 s where 2,964 are allowed.
+    /// domain had a grantor that granted the whole quota: 2,979 requests of a caller ran in 5 s where 2,964 are allowed.
     static constexpr auto MinHostsAtStart = 64.0;
     /// Time for which hosts that are no longer alive still count: after it their callers use other hosts.
     static constexpr auto MaxHostsMemory = Duration{600'000'000};
@@ -104,7 +104,7 @@
     /// Hosts that start at the same time have each other in their membership tables after about a second.
     static constexpr auto StartupTime = Duration{3'000'000};
     /// Share of the rate that is granted for one window after a takeover. Hosts detect a takeover within about a second, and
-    /// until then both grantors grant. With the fullRate rate, 188 requests of a caller ran in 5 s where 185 are allowed, while
+    /// until then both grantors grant. With the whole rate, 188 requests of a caller ran in 5 s where 185 are allowed, while
     /// a third of the hosts was replaced one after the other.
     static constexpr auto TakeoverShare = 0.7;
     static constexpr auto GuaranteeSeconds = 5.0;
--- a/include/stairspur/quota/QuotaHolder.h
+++ b/include/stairspur/quota/QuotaHolder.h
@@ -39,7 +39,7 @@
 ///
 /// Each request needs one token. For a busy caller there are tokens in stock; for others the host sends a message to the grantor
 /// and the request waits some milliseconds for the response. When the grantor does not respond, because of a network partition or
-/// because it has crashed, the host admits its even share of the quota until a grantor grants again. Performs no
+/// because it no longer runs, the host admits its even share of the quota until a grantor grants again. Performs no
 /// I/O: it takes requests, grants and the time, and yields decisions and datagrams.
 class QuotaHolder
 {
