--- a/include/stairspur/quota/QuotaHolder.h
+++ b/include/stairspur/quota/QuotaHolder.h
@@ -58,7 +58,7 @@
     auto offer(RequestNumber request, const std::string &caller, const config::RequestQuota &quota,
                TimePoint now) -> void;
     /// Returns the token of an admitted request that did not run, for another request until `tokenEnd`.
-    auto giveBack(const std::string &caller, TimePoint tokenEnd, TimePoint now) -> void;
+    auto returnToken(const std::string &caller, TimePoint tokenEnd, TimePoint now) -> void;
     /// Receives a grantor's response. A grant without a pending request is ignored.
     auto receive(const TokenGrant &grant, TimePoint now) -> void;
     /// Detects missing responses and returns unused tokens. Must be called about fifty times a second while isActive().
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -207,7 +207,7 @@
         account.waiting.pop_front();
 }
 
-auto QuotaHolder::giveBack(const std::string &caller, TimePoint tokenEnd, TimePoint now) -> void
+auto QuotaHolder::returnToken(const std::string &caller, TimePoint tokenEnd, TimePoint now) -> void
 {
     const auto found = m_accounts.find(caller);
     if (found == m_accounts.end() || tokenEnd <= now)
--- a/tests/quota/TestQuotaHolder.cpp
+++ b/tests/quota/TestQuotaHolder.cpp
@@ -69,10 +69,10 @@
     host.limiter.offer(1, "kitchen", Quota, Now);
     host.grant(host.lastRequest(), 1, 0us, Now + 2ms);
     const auto first = host.limiter.takeDecisions().at(0);
-    host.limiter.giveBack("kitchen", first.tokenEnd, Now + 50ms);
+    host.limiter.returnToken("kitchen", first.tokenEnd, Now + 50ms);
     host.limiter.offer(2, "kitchen", Quota, Now + 60ms);
     cr_assert(host.limiter.takeDecisions().at(0).isAdmitted);
-    host.limiter.giveBack("kitchen", first.tokenEnd, Now + 301ms);
+    host.limiter.returnToken("kitchen", first.tokenEnd, Now + 301ms);
     host.limiter.offer(3, "kitchen", Quota, Now + 302ms);
     cr_assert(host.limiter.takeDecisions().empty(), "an expired token admits no request");
 }
