--- a/include/stairspur/quota/QuotaHolder.h
+++ b/include/stairspur/quota/QuotaHolder.h
@@ -24,8 +24,8 @@
 {
     RequestNumber request = 0;
     bool isAdmitted = false;
-    Duration retryAfter{0}; ///< For a refused request: time after which it may be retried.
-    TimePoint tokenEnd{};   ///< For an admitted request: when its token expires.
+    Duration retryAfter{0};  ///< For a refused request: time after which it may be retried.
+    TimePoint tokenExpiry{}; ///< For an admitted request: when its token expires.
 };
 
 /// A message that is to be sent to a grantor.
@@ -57,8 +57,8 @@
     /// Offers a request for admission. takeDecisions() returns the decision, at once or after a later grant or tick.
     auto offer(RequestNumber request, const std::string &caller, const config::RequestQuota &quota,
                TimePoint now) -> void;
-    /// Returns the token of an admitted request that did not run, for another request until `tokenEnd`.
-    auto returnToken(const std::string &caller, TimePoint tokenEnd, TimePoint now) -> void;
+    /// Returns the token of an admitted request that did not run, for another request until `tokenExpiry`.
+    auto returnToken(const std::string &caller, TimePoint tokenExpiry, TimePoint now) -> void;
     /// Receives a grantor's response. A grant without a pending request is ignored.
     auto receive(const TokenGrant &grant, TimePoint now) -> void;
     /// Detects missing responses and returns unused tokens. Must be called about fifty times a second while isActive().
--- a/source/node/QuotaKeeper.cpp
+++ b/source/node/QuotaKeeper.cpp
@@ -53,7 +53,7 @@
 
 auto QuotaKeeper::giveBack(const std::string &caller, const QuotaDecision &decision) -> void
 {
-    m_holder.returnToken(caller, decision.tokenEnd, monotonicNow());
+    m_holder.returnToken(caller, decision.tokenExpiry, monotonicNow());
     flush();
 }
 
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -207,14 +207,15 @@
         account.waiting.pop_front();
 }
 
-auto QuotaHolder::returnToken(const std::string &caller, TimePoint tokenEnd, TimePoint now) -> void
+auto QuotaHolder::returnToken(const std::string &caller, TimePoint tokenExpiry, TimePoint now)
+        -> void
 {
     const auto found = m_accounts.find(caller);
-    if (found == m_accounts.end() || tokenEnd <= now)
+    if (found == m_accounts.end() || tokenExpiry <= now)
         return;
     auto &batches = found->second.batches;
-    const auto isLater = [tokenEnd](const auto &it) { return it.end > tokenEnd; };
-    batches.insert(std::ranges::find_if(batches, isLater), {1, tokenEnd});
+    const auto isLater = [tokenExpiry](const auto &it) { return it.end > tokenExpiry; };
+    batches.insert(std::ranges::find_if(batches, isLater), {1, tokenExpiry});
     serveWaiting(found->second, now);
 }
 
--- a/tests/quota/TestQuotaHolder.cpp
+++ b/tests/quota/TestQuotaHolder.cpp
@@ -43,7 +43,7 @@
     const auto decisions = host.limiter.takeDecisions();
     cr_assert_eq(decisions.size(), 1);
     cr_assert(decisions[0].isAdmitted);
-    cr_assert(decisions[0].tokenEnd == Now + 300ms,
+    cr_assert(decisions[0].tokenExpiry == Now + 300ms,
               "the expiry counts from the request for tokens");
 }
 
@@ -69,10 +69,10 @@
     host.limiter.offer(1, "kitchen", Quota, Now);
     host.grant(host.lastRequest(), 1, 0us, Now + 2ms);
     const auto first = host.limiter.takeDecisions().at(0);
-    host.limiter.returnToken("kitchen", first.tokenEnd, Now + 50ms);
+    host.limiter.returnToken("kitchen", first.tokenExpiry, Now + 50ms);
     host.limiter.offer(2, "kitchen", Quota, Now + 60ms);
     cr_assert(host.limiter.takeDecisions().at(0).isAdmitted);
-    host.limiter.returnToken("kitchen", first.tokenEnd, Now + 301ms);
+    host.limiter.returnToken("kitchen", first.tokenExpiry, Now + 301ms);
     host.limiter.offer(3, "kitchen", Quota, Now + 302ms);
     cr_assert(host.limiter.takeDecisions().empty(), "an expired token admits no request");
 }
--- a/tests/quota/VirtualHosts.h
+++ b/tests/quota/VirtualHosts.h
@@ -230,7 +230,7 @@
             return;
         }
         if (shedShare > 0 && randomUnit(m_random) < shedShare) {
-            m_hosts[index].holder->returnToken(caller.name, decision.tokenEnd, clockOf(index));
+            m_hosts[index].holder->returnToken(caller.name, decision.tokenExpiry, clockOf(index));
             return;
         }
         ++caller.admitted;
