--- a/include/stairspur/quota/KnownNodes.h
+++ b/include/stairspur/quota/AliveNodes.h
@@ -19,10 +19,10 @@
 /// Keeps the nodes that are alive. A node is mature once it has been in the local membership table for a while, so that all
 /// other nodes have it in theirs too. A node that appears in the first seconds after this node's start was there before and is
 /// mature at once, unless it started at about the same time.
-class KnownNodes
+class AliveNodes
 {
 public:
-    KnownNodes(Duration maturity, TimePoint startedAt)
+    AliveNodes(Duration maturity, TimePoint startedAt)
         : m_maturity(maturity)
         , m_startedAt(startedAt)
     {}
--- a/include/stairspur/quota/GrantorChoice.h
+++ b/include/stairspur/quota/GrantorChoice.h
@@ -6,7 +6,7 @@
 
 #include <stairspur/core/Identifiers.h>
 #include <stairspur/core/Time.h>
-#include <stairspur/quota/KnownNodes.h>
+#include <stairspur/quota/AliveNodes.h>
 
 namespace stairspur::quota {
 
@@ -30,7 +30,7 @@
     /// Reads the candidates again and drops the cached choices.
     auto refresh(TimePoint now) -> void;
 
-    KnownNodes m_nodes;
+    AliveNodes m_nodes;
     std::vector<NodeId> m_candidates;
     TimePoint m_nextMaturity = TimePoint::max();
     /// Cached choices by caller, for the current candidates.
--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -8,8 +8,8 @@
 #include <stairspur/config/Configuration.h>
 #include <stairspur/core/Identifiers.h>
 #include <stairspur/core/Time.h>
+#include <stairspur/quota/AliveNodes.h>
 #include <stairspur/quota/GrantWindow.h>
-#include <stairspur/quota/KnownNodes.h>
 #include <stairspur/quota/Messages.h>
 #include <stairspur/quota/QuotaSettings.h>
 
@@ -214,7 +214,7 @@
 
     QuotaSettings m_settings;
     TimePoint m_startedAt;
-    KnownNodes m_nodes;
+    AliveNodes m_nodes;
     TimePoint m_nextMaturity = TimePoint::max();
     double m_hosts = 1;    ///< Mature hosts.
     double m_maxHosts = 1; ///< Maximum number of hosts that were alive at the same time.
--- a/source/node/NodeBoard.h
+++ b/source/node/NodeBoard.h
@@ -12,7 +12,7 @@
 #include <stairspur/membership/Announcement.h>
 #include <stairspur/membership/Member.h>
 #include <stairspur/quarantine/QuarantineState.h>
-#include <stairspur/quota/KnownNodes.h>
+#include <stairspur/quota/AliveNodes.h>
 
 #include "TrafficState.h"
 
--- a/source/quota/KnownNodes.cpp
+++ b/source/quota/AliveNodes.cpp
@@ -1,11 +1,11 @@
-#include <stairspur/quota/KnownNodes.h>
+#include <stairspur/quota/AliveNodes.h>
 
 #include <algorithm>
 #include <set>
 
 namespace stairspur::quota {
 
-auto KnownNodes::matureTimeOf(const StartedNode &node, Incarnation newest, TimePoint now) const
+auto AliveNodes::matureTimeOf(const StartedNode &node, Incarnation newest, TimePoint now) const
         -> TimePoint
 {
     static constexpr auto StartupMilliseconds =
@@ -17,7 +17,7 @@
     return wasThereBefore ? now : std::max(now, m_startedAt + m_maturity);
 }
 
-auto KnownNodes::setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void
+auto AliveNodes::setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void
 {
     auto alive = std::set<NodeId>();
     auto newest = Incarnation{0};
@@ -30,7 +30,7 @@
         m_matureAt.emplace(it.node, matureTimeOf(it, newest, now));
 }
 
-auto KnownNodes::mature(TimePoint now) const -> std::vector<NodeId>
+auto AliveNodes::mature(TimePoint now) const -> std::vector<NodeId>
 {
     auto nodes = std::vector<NodeId>();
     for (const auto &[node, matureAt] : m_matureAt) {
@@ -44,7 +44,7 @@
     return nodes;
 }
 
-auto KnownNodes::nextMaturity(TimePoint now) const -> TimePoint
+auto AliveNodes::nextMaturity(TimePoint now) const -> TimePoint
 {
     auto next = TimePoint::max();
     for (const auto &[node, matureAt] : m_matureAt) {
