--- a/include/stairspur/quota/AliveNodes.h
+++ b/include/stairspur/quota/AliveNodes.h
@@ -9,7 +9,7 @@
 namespace stairspur::quota {
 
 /// A node that is alive.
-struct StartedNode
+struct AliveNode
 {
     NodeId node;
     /// Start of its process by its own wall clock, in milliseconds; clocks of nodes may differ.
@@ -28,7 +28,7 @@
     {}
 
     /// Sets the nodes that are alive, including this one.
-    auto setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void;
+    auto setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void;
 
     /// Returns the mature nodes ordered by their ids; all nodes if none is mature.
     [[nodiscard]] auto mature(TimePoint now) const -> std::vector<NodeId>;
@@ -37,8 +37,8 @@
 
 private:
     /// Returns when a node that appears at `now` becomes mature; `newest` is the latest start of all nodes.
-    [[nodiscard]] auto matureTimeOf(const StartedNode &node, Incarnation newest,
-                                    TimePoint now) const -> TimePoint;
+    [[nodiscard]] auto matureTimeOf(const AliveNode &node, Incarnation newest, TimePoint now) const
+            -> TimePoint;
 
     /// Hosts that start at the same time have each other in their membership tables after about a second.
     static constexpr auto StartupTime = Duration{3'000'000};
--- a/include/stairspur/quota/GrantorChoice.h
+++ b/include/stairspur/quota/GrantorChoice.h
@@ -21,7 +21,7 @@
     {}
 
     /// Sets the nodes that are alive, including this one.
-    auto setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void;
+    auto setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void;
 
     /// Returns the grantor of `caller`; empty while there are no nodes.
     auto of(const std::string &caller, TimePoint now) -> NodeId;
--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -44,7 +44,7 @@
     {}
 
     /// Sets the hosts that are alive, including this one.
-    auto setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void
+    auto setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void
     {
         m_nodes.setNodes(nodes, now);
         countHosts(now);
--- a/include/stairspur/quota/QuotaHolder.h
+++ b/include/stairspur/quota/QuotaHolder.h
@@ -52,7 +52,7 @@
     {}
 
     /// Sets the nodes that are alive, including this one.
-    auto setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void;
+    auto setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void;
 
     /// Offers a request for admission. takeDecisions() returns the decision, at once or after a later grant or tick.
     auto offer(RequestNumber request, const std::string &caller, const config::RequestQuota &quota,
--- a/source/node/NodeBoard.h
+++ b/source/node/NodeBoard.h
@@ -53,9 +53,9 @@
 };
 
 /// The nodes that can be asked for something: neither dead nor gone.
-inline auto aliveNodes(const membership::MembershipView &view) -> std::vector<quota::StartedNode>
+inline auto aliveNodes(const membership::MembershipView &view) -> std::vector<quota::AliveNode>
 {
-    auto nodes = std::vector<quota::StartedNode>();
+    auto nodes = std::vector<quota::AliveNode>();
     for (const auto &it : view.members) {
         if (it.liveness != membership::Liveness::Dead && it.state != membership::ServingState::Left)
             nodes.push_back({it.node, it.start});
--- a/source/quota/AliveNodes.cpp
+++ b/source/quota/AliveNodes.cpp
@@ -5,7 +5,7 @@
 
 namespace stairspur::quota {
 
-auto AliveNodes::matureTimeOf(const StartedNode &node, Incarnation newest, TimePoint now) const
+auto AliveNodes::matureTimeOf(const AliveNode &node, Incarnation newest, TimePoint now) const
         -> TimePoint
 {
     static constexpr auto StartupMilliseconds =
@@ -17,7 +17,7 @@
     return wasThereBefore ? now : std::max(now, m_startedAt + m_maturity);
 }
 
-auto AliveNodes::setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void
+auto AliveNodes::setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void
 {
     auto alive = std::set<NodeId>();
     auto newest = Incarnation{0};
--- a/source/quota/GrantorChoice.cpp
+++ b/source/quota/GrantorChoice.cpp
@@ -6,7 +6,7 @@
 
 namespace stairspur::quota {
 
-auto GrantorChoice::setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void
+auto GrantorChoice::setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void
 {
     m_nodes.setNodes(nodes, now);
     refresh(now);
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -32,7 +32,7 @@
     return std::chrono::duration<double>(time).count();
 }
 
-auto QuotaHolder::setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void
+auto QuotaHolder::setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void
 {
     m_choice.setNodes(nodes, now);
     m_hosts = std::max(m_hosts, nodes.size());
--- a/tests/quota/VirtualHosts.h
+++ b/tests/quota/VirtualHosts.h
@@ -187,7 +187,7 @@
 
     auto setView(std::size_t index, const std::vector<std::size_t> &alive) -> void
     {
-        auto nodes = std::vector<StartedNode>();
+        auto nodes = std::vector<AliveNode>();
         for (const auto it : alive)
             nodes.push_back({nameOf(it), m_hosts[it].startedAtMs});
         m_hosts[index].holder->setNodes(nodes, clockOf(index));
