--- a/include/stairspur/quota/AliveNodes.h
+++ b/include/stairspur/quota/AliveNodes.h
@@ -13,7 +13,7 @@
 {
     NodeId node;
     /// Start of its process by its own wall clock, in milliseconds; clocks of nodes may differ.
-    Incarnation start = 0;
+    Incarnation incarnation = 0;
 };
 
 /// Keeps the nodes that are alive. A node is mature once it has been in the local membership table for a while, so that all
--- a/source/quota/AliveNodes.cpp
+++ b/source/quota/AliveNodes.cpp
@@ -12,7 +12,7 @@
             static_cast<Incarnation>(toMilliseconds(StartupTime));
     if (now - m_startedAt >= StartupTime)
         return now + m_maturity;
-    const auto wasThereBefore = node.start + StartupMilliseconds < newest;
+    const auto wasThereBefore = node.incarnation + StartupMilliseconds < newest;
     // A node that started together with this one becomes mature together with it, whenever it appears.
     return wasThereBefore ? now : std::max(now, m_startedAt + m_maturity);
 }
@@ -23,7 +23,7 @@
     auto newest = Incarnation{0};
     for (const auto &it : nodes) {
         alive.insert(it.node);
-        newest = std::max(newest, it.start);
+        newest = std::max(newest, it.incarnation);
     }
     std::erase_if(m_matureAt, [&](const auto &it) { return !alive.contains(it.first); });
     for (const auto &it : nodes)
