--- a/include/stairspur/quota/GrantorChoice.h
+++ b/include/stairspur/quota/GrantorSelector.h
@@ -13,10 +13,10 @@
 /// Selects the node that grants the tokens of a caller, by rendezvous hashing (Thaler and Ravishankar, 1998) among the mature
 /// nodes. A node that has just joined is skipped: other hosts may not have it in their membership tables yet and would still
 /// send their requests to its predecessor, so that both would grant the quota.
-class GrantorChoice
+class GrantorSelector
 {
 public:
-    GrantorChoice(Duration maturity, TimePoint startedAt)
+    GrantorSelector(Duration maturity, TimePoint startedAt)
         : m_nodes(maturity, startedAt)
     {}
 
--- a/include/stairspur/quota/QuotaHolder.h
+++ b/include/stairspur/quota/QuotaHolder.h
@@ -10,7 +10,7 @@
 #include <stairspur/core/Identifiers.h>
 #include <stairspur/core/Random.h>
 #include <stairspur/core/Time.h>
-#include <stairspur/quota/GrantorChoice.h>
+#include <stairspur/quota/GrantorSelector.h>
 #include <stairspur/quota/Messages.h>
 #include <stairspur/quota/QuotaSettings.h>
 
@@ -47,7 +47,7 @@
     QuotaHolder(QuotaSettings settings, std::uint64_t seed, TimePoint startedAt)
         : m_settings(settings)
         , m_startedAt(startedAt)
-        , m_choice(settings.maturity, startedAt)
+        , m_selector(settings.maturity, startedAt)
         , m_random(seed)
     {}
 
@@ -150,7 +150,7 @@
 
     QuotaSettings m_settings;
     TimePoint m_startedAt;
-    GrantorChoice m_choice;
+    GrantorSelector m_selector;
     Random m_random;
     std::size_t m_hosts = 1; ///< Maximum number of hosts that were alive at the same time.
     std::unordered_map<std::string, Account> m_accounts;
--- a/source/quota/GrantorChoice.cpp
+++ b/source/quota/GrantorSelector.cpp
@@ -1,4 +1,4 @@
-#include <stairspur/quota/GrantorChoice.h>
+#include <stairspur/quota/GrantorSelector.h>
 
 #include <algorithm>
 
@@ -6,20 +6,20 @@
 
 namespace stairspur::quota {
 
-auto GrantorChoice::setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void
+auto GrantorSelector::setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void
 {
     m_nodes.setNodes(nodes, now);
     refresh(now);
 }
 
-auto GrantorChoice::refresh(TimePoint now) -> void
+auto GrantorSelector::refresh(TimePoint now) -> void
 {
     m_chosen.clear();
     m_candidates = m_nodes.mature(now);
     m_nextMaturity = m_nodes.nextMaturity(now);
 }
 
-auto GrantorChoice::of(const std::string &caller, TimePoint now) -> NodeId
+auto GrantorSelector::of(const std::string &caller, TimePoint now) -> NodeId
 {
     if (now >= m_nextMaturity)
         refresh(now);
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -34,7 +34,7 @@
 
 auto QuotaHolder::setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void
 {
-    m_choice.setNodes(nodes, now);
+    m_selector.setNodes(nodes, now);
     m_hosts = std::max(m_hosts, nodes.size());
 }
 
@@ -150,7 +150,7 @@
 auto QuotaHolder::requestTokens(const std::string &caller, Account &account, TimePoint now,
                                 bool isRetry) -> void
 {
-    const auto grantor = m_choice.of(caller, now);
+    const auto grantor = m_selector.of(caller, now);
     if (grantor.empty())
         return switchToEvenShare(account, now);
     auto message = TokenAsk();
