--- a/include/stairspur/quota/GrantorSelector.h
+++ b/include/stairspur/quota/GrantorSelector.h
@@ -24,7 +24,7 @@
     auto setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void;
 
     /// Returns the grantor of `caller`; empty while there are no nodes.
-    auto of(const std::string &caller, TimePoint now) -> NodeId;
+    auto grantorOf(const std::string &caller, TimePoint now) -> NodeId;
 
 private:
     /// Reads the candidates again and drops the cached choices.
--- a/source/quota/GrantorSelector.cpp
+++ b/source/quota/GrantorSelector.cpp
@@ -19,7 +19,7 @@
     m_nextMaturity = m_nodes.nextMaturity(now);
 }
 
-auto GrantorSelector::of(const std::string &caller, TimePoint now) -> NodeId
+auto GrantorSelector::grantorOf(const std::string &caller, TimePoint now) -> NodeId
 {
     if (now >= m_nextMaturity)
         refresh(now);
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -150,7 +150,7 @@
 auto QuotaHolder::requestTokens(const std::string &caller, Account &account, TimePoint now,
                                 bool isRetry) -> void
 {
-    const auto grantor = m_selector.of(caller, now);
+    const auto grantor = m_selector.grantorOf(caller, now);
     if (grantor.empty())
         return switchToEvenShare(account, now);
     auto message = TokenAsk();
