--- a/include/stairspur/quota/Messages.h
+++ b/include/stairspur/quota/Messages.h
@@ -11,7 +11,7 @@
 namespace stairspur::quota {
 
 /// Requests tokens for a caller's requests, or returns unspent ones.
-struct TokenAsk
+struct TokenRequest
 {
     std::uint64_t number = 0; ///< Identifies the message; the grant repeats it.
     std::string caller;
@@ -33,7 +33,7 @@
     bool isKnown = true;
 };
 
-using Message = std::variant<TokenAsk, TokenGrant>;
+using Message = std::variant<TokenRequest, TokenGrant>;
 
 /// Maximum number of tokens in one message; a message with more is invalid.
 inline constexpr auto MostTokens = std::uint32_t{1'000'000};
--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -51,27 +51,28 @@
     }
 
     /// Returns the tokens that the caller's quota has for a host's request, after taking back the tokens that it returns.
-    auto answer(const TokenAsk &ask, const config::RequestQuota &quota, TimePoint now) -> TokenGrant
+    auto answer(const TokenRequest &request, const config::RequestQuota &quota, TimePoint now)
+            -> TokenGrant
     {
         removeIdle(now);
         if (now >= m_nextMaturity)
             countHosts(now);
-        auto &account = accountOf(ask, quota, now);
+        auto &account = accountOf(request, quota, now);
         if (now < account.grantsFrom && Policy::TakesOverEmpty)
-            return {.number = ask.number, .caller = ask.caller, .isKnown = false};
+            return {.number = request.number, .caller = request.caller, .isKnown = false};
         refill(account, quota, now);
         const auto depth = depthOf(quota) * shareAt(now);
-        account.tokens = std::min(account.tokens + ask.returned, depth);
-        account.window.remove(ask.returned, now);
+        account.tokens = std::min(account.tokens + request.returned, depth);
+        account.window.remove(request.returned, now);
         const auto room =
                 std::max(maxInWindow(quota) * shareAt(now) - account.window.sum(now), 0.0);
-        auto grant = TokenGrant{ask.number, ask.caller, 0, Duration::zero(), true};
-        grant.granted =
-                std::min(ask.wanted, static_cast<std::uint32_t>(std::min(account.tokens, room)));
+        auto grant = TokenGrant{request.number, request.caller, 0, Duration::zero(), true};
+        grant.granted = std::min(request.wanted,
+                                 static_cast<std::uint32_t>(std::min(account.tokens, room)));
         account.tokens -= grant.granted;
         account.window.add(grant.granted, now);
-        account.refused += ask.wanted - grant.granted;
-        if (grant.granted < ask.wanted)
+        account.refused += request.wanted - grant.granted;
+        if (grant.granted < request.wanted)
             grant.wait = waitTimeOf(account, quota, now);
         return grant;
     }
@@ -137,19 +138,19 @@
     }
 
     /// Returns the caller's account; a new one starts with a full bucket unless this node takes over from another grantor.
-    auto accountOf(const TokenAsk &ask, const config::RequestQuota &quota, TimePoint now)
+    auto accountOf(const TokenRequest &request, const config::RequestQuota &quota, TimePoint now)
             -> Account &
     {
-        const auto [it, isNew] = m_accounts.try_emplace(ask.caller);
+        const auto [it, isNew] = m_accounts.try_emplace(request.caller);
         if (isNew) {
             it->second.filledAt = now;
-            const auto isTakeover = ask.hasMoved || now - m_startedAt < StartupTime;
+            const auto isTakeover = request.hasMoved || now - m_startedAt < StartupTime;
             if (!isTakeover || !Policy::TakesOverEmpty)
                 it->second.tokens = depthOf(quota) * shareAt(now);
         }
-        if (ask.hasMoved && Policy::TakesOverEmpty)
+        if (request.hasMoved && Policy::TakesOverEmpty)
             it->second.fullRateAt = now + GrantWindow::Length;
-        if (isNew && ask.hasMoved && shareAt(now) < MinShareToTakeOver)
+        if (isNew && request.hasMoved && shareAt(now) < MinShareToTakeOver)
             it->second.grantsFrom = now + GrantWindow::Length;
         return it->second;
     }
--- a/include/stairspur/quota/QuotaSettings.h
+++ b/include/stairspur/quota/QuotaSettings.h
@@ -40,9 +40,9 @@
 /// arrive at many hosts between two of their messages. The grantor's window limits what is granted, whatever the capacity.
 inline auto depthOf(const config::RequestQuota &quota) -> double
 {
-    static constexpr auto BetweenAsks = 0.2; // Seconds.
+    static constexpr auto BetweenRequests = 0.2; // Seconds.
     static constexpr auto MostRoom = 20.0;
-    return quota.burst + std::clamp(quota.requestsPerSecond * BetweenAsks, 1.0, MostRoom);
+    return quota.burst + std::clamp(quota.requestsPerSecond * BetweenRequests, 1.0, MostRoom);
 }
 
 } // namespace stairspur::quota
--- a/source/node/GrantorService.cpp
+++ b/source/node/GrantorService.cpp
@@ -35,10 +35,10 @@
     }
 }
 
-auto GrantorService::take(const NodeId &from, const quota::TokenAsk &ask) -> void
+auto GrantorService::take(const NodeId &from, const quota::TokenRequest &request) -> void
 {
-    const auto grant = answerTo(ask);
-    if (ask.wanted == 0)
+    const auto grant = answerTo(request);
+    if (request.wanted == 0)
         return; // It only gave tokens back.
     if (from == m_ownNode)
         m_didGrant(grant);
@@ -51,15 +51,15 @@
     m_didGrant(grant);
 }
 
-auto GrantorService::answerTo(const quota::TokenAsk &ask) -> quota::TokenGrant
+auto GrantorService::answerTo(const quota::TokenRequest &request) -> quota::TokenGrant
 {
     const auto now = monotonicNow();
     refreshHosts(now);
     const auto configuration = *m_board.configuration.read();
-    const auto *caller = configuration ? configuration->findCaller(ask.caller) : nullptr;
+    const auto *caller = configuration ? configuration->findCaller(request.caller) : nullptr;
     if (!caller || !caller->quota)
-        return {.number = ask.number, .caller = ask.caller, .isKnown = false};
-    return m_grantor.answer(ask, *caller->quota, now);
+        return {.number = request.number, .caller = request.caller, .isKnown = false};
+    return m_grantor.answer(request, *caller->quota, now);
 }
 
 auto GrantorService::refreshHosts(TimePoint now) -> void
--- a/source/node/GrantorService.h
+++ b/source/node/GrantorService.h
@@ -29,9 +29,9 @@
     auto receive(const NodeId &from, const std::string &payload) -> void;
 
 private:
-    auto take(const NodeId &from, const quota::TokenAsk &ask) -> void;
+    auto take(const NodeId &from, const quota::TokenRequest &request) -> void;
     auto take(const NodeId &from, const quota::TokenGrant &grant) -> void;
-    auto answerTo(const quota::TokenAsk &ask) -> quota::TokenGrant;
+    auto answerTo(const quota::TokenRequest &request) -> quota::TokenGrant;
     auto refreshHosts(TimePoint now) -> void;
 
     const NodeBoard &m_board;
--- a/source/quota/Messages.cpp
+++ b/source/quota/Messages.cpp
@@ -19,7 +19,7 @@
 /// Maximum wait that is accepted from a grantor, so that callers always receive a time at which a retry makes sense.
 static constexpr auto MaxWait = Duration{60'000'000};
 
-static auto toJson(const TokenAsk &it) -> Json
+static auto toJson(const TokenRequest &it) -> Json
 {
     return Json::array({Kind::Request, it.number, it.caller, it.wanted, it.returned, it.hasMoved});
 }
@@ -38,7 +38,7 @@
     return static_cast<std::uint32_t>(count);
 }
 
-static auto readRequest(const Json &json) -> TokenAsk
+static auto readRequest(const Json &json) -> TokenRequest
 {
     return {json.at(1), json.at(2), readCount(json.at(3)), readCount(json.at(4)), json.at(5)};
 }
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -153,7 +153,7 @@
     const auto grantor = m_selector.grantorOf(caller, now);
     if (grantor.empty())
         return switchToEvenShare(account, now);
-    auto message = TokenAsk();
+    auto message = TokenRequest();
     message.number = m_random();
     message.caller = caller;
     const auto target = std::lround(account.demand * secondsOf(m_settings.stockTime));
@@ -275,7 +275,7 @@
     removeExpired(account, now);
     if (returned == 0 || account.grantor.empty())
         return;
-    auto message = TokenAsk();
+    auto message = TokenRequest();
     message.caller = caller;
     message.returned = returned;
     m_datagrams.push_back({account.grantor, writeMessage(message)});
--- a/tests/fuzz/quota/main.cpp
+++ b/tests/fuzz/quota/main.cpp
@@ -15,7 +15,7 @@
 
 static auto makeSamples() -> std::vector<std::string>
 {
-    return {writeMessage(TokenAsk{1, "kitchen", 2, 3, true}),
+    return {writeMessage(TokenRequest{1, "kitchen", 2, 3, true}),
             writeMessage(TokenGrant{1, "kitchen", 2, Duration{7}, true})};
 }
 
@@ -29,8 +29,8 @@
     holder.offer(1, "kitchen", Quota, start);
     try {
         const auto message = readMessage({reinterpret_cast<const char *>(data), size});
-        if (const auto *ask = std::get_if<TokenAsk>(&message))
-            grantor.answer(*ask, Quota, start + std::chrono::seconds(1));
+        if (const auto *request = std::get_if<TokenRequest>(&message))
+            grantor.answer(*request, Quota, start + std::chrono::seconds(1));
         else
             holder.receive(std::get<TokenGrant>(message), start + std::chrono::seconds(1));
     } catch (const InputError &) {
--- a/tests/quota/TestQuotaHolder.cpp
+++ b/tests/quota/TestQuotaHolder.cpp
@@ -18,16 +18,17 @@
     TestHost() { limiter.setNodes({{"a"}, {"b"}, {"c"}}, Now); }
 
     /// Returns the last request for tokens that it sent.
-    auto lastRequest() -> TokenAsk
+    auto lastRequest() -> TokenRequest
     {
         const auto sent = limiter.takeDatagrams();
         cr_assert(!sent.empty());
-        return std::get<TokenAsk>(readMessage(sent.back().payload));
+        return std::get<TokenRequest>(readMessage(sent.back().payload));
     }
 
-    auto grant(const TokenAsk &ask, std::uint32_t tokens, Duration wait, TimePoint now) -> void
+    auto grant(const TokenRequest &request, std::uint32_t tokens, Duration wait, TimePoint now)
+            -> void
     {
-        limiter.receive({ask.number, ask.caller, tokens, wait, true}, now);
+        limiter.receive({request.number, request.caller, tokens, wait, true}, now);
     }
 };
 
@@ -36,10 +37,10 @@
     auto host = TestHost();
     host.limiter.offer(1, "kitchen", Quota, Now);
     cr_assert(host.limiter.takeDecisions().empty());
-    const auto ask = host.lastRequest();
-    cr_assert_eq(ask.caller, "kitchen");
-    cr_assert_eq(ask.wanted, 1);
-    host.grant(ask, 1, 0us, Now + 2ms);
+    const auto request = host.lastRequest();
+    cr_assert_eq(request.caller, "kitchen");
+    cr_assert_eq(request.wanted, 1);
+    host.grant(request, 1, 0us, Now + 2ms);
     const auto decisions = host.limiter.takeDecisions();
     cr_assert_eq(decisions.size(), 1);
     cr_assert(decisions[0].isAdmitted);
@@ -123,12 +124,12 @@
 {
     auto host = TestHost();
     host.limiter.offer(1, "kitchen", Quota, Now);
-    auto ask = host.lastRequest();
-    ask.number += 1;
-    host.grant(ask, 100, 0us, Now + 2ms);
+    auto request = host.lastRequest();
+    request.number += 1;
+    host.grant(request, 100, 0us, Now + 2ms);
     cr_assert(host.limiter.takeDecisions().empty());
-    ask.number -= 1;
-    host.grant(ask, 100, 0us, Now + 301ms);
+    request.number -= 1;
+    host.grant(request, 100, 0us, Now + 301ms);
     cr_assert(host.limiter.takeDecisions().empty(), "its tokens had expired on arrival");
 }
 
@@ -141,14 +142,14 @@
 
 Test(QuotaMessages, invalidMessagesAreRejected)
 {
-    const auto ask = writeMessage(TokenAsk{1, "kitchen", 2, 3, true});
-    const auto read = std::get<TokenAsk>(readMessage(ask));
+    const auto request = writeMessage(TokenRequest{1, "kitchen", 2, 3, true});
+    const auto read = std::get<TokenRequest>(readMessage(request));
     cr_assert_eq(read.wanted, 2);
     cr_assert_eq(read.returned, 3);
     cr_assert(read.hasMoved);
-    for (auto n = std::size_t{0}; n < ask.size(); ++n)
-        cr_expect_throw(readMessage(ask.substr(0, n)), InputError, "%zu bytes", n);
-    cr_expect_throw(readMessage(writeMessage(TokenAsk{1, "k", MostTokens + 1, 0, false})),
+    for (auto n = std::size_t{0}; n < request.size(); ++n)
+        cr_expect_throw(readMessage(request.substr(0, n)), InputError, "%zu bytes", n);
+    cr_expect_throw(readMessage(writeMessage(TokenRequest{1, "k", MostTokens + 1, 0, false})),
                     InputError);
     cr_expect_throw(readMessage("\x81\x09"), InputError);
 }
--- a/tests/quota/VirtualHosts.h
+++ b/tests/quota/VirtualHosts.h
@@ -265,10 +265,10 @@
             flush(to);
             return;
         }
-        const auto &ask = std::get<TokenAsk>(message);
-        const auto caller = std::ranges::find(m_callers, ask.caller, &VirtualCaller::name);
-        const auto grant = host.grantor->answer(ask, caller->quota, clockOf(to));
-        if (ask.wanted > 0)
+        const auto &request = std::get<TokenRequest>(message);
+        const auto caller = std::ranges::find(m_callers, request.caller, &VirtualCaller::name);
+        const auto grant = host.grantor->answer(request, caller->quota, clockOf(to));
+        if (request.wanted > 0)
             send(to, from, writeMessage(grant));
     }
 
