--- a/include/stairspur/quota/Messages.h
+++ b/include/stairspur/quota/Messages.h
@@ -18,7 +18,7 @@
     std::uint32_t wanted = 0;
     std::uint32_t returned = 0; ///< Tokens of earlier grants that are unspent and still valid.
     /// Whether the host's last request for this caller, a short time ago, went to another grantor.
-    bool hasMoved = false;
+    bool hasChangedGrantor = false;
 };
 
 /// Response of a grantor to a request for tokens.
--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -144,13 +144,13 @@
         const auto [it, isNew] = m_accounts.try_emplace(request.caller);
         if (isNew) {
             it->second.filledAt = now;
-            const auto isTakeover = request.hasMoved || now - m_startedAt < StartupTime;
+            const auto isTakeover = request.hasChangedGrantor || now - m_startedAt < StartupTime;
             if (!isTakeover || !Policy::TakesOverEmpty)
                 it->second.tokens = depthOf(quota) * shareAt(now);
         }
-        if (request.hasMoved && Policy::TakesOverEmpty)
+        if (request.hasChangedGrantor && Policy::TakesOverEmpty)
             it->second.fullRateAt = now + GrantWindow::Length;
-        if (isNew && request.hasMoved && shareAt(now) < MinShareToTakeOver)
+        if (isNew && request.hasChangedGrantor && shareAt(now) < MinShareToTakeOver)
             it->second.grantsFrom = now + GrantWindow::Length;
         return it->second;
     }
--- a/source/quota/Messages.cpp
+++ b/source/quota/Messages.cpp
@@ -21,7 +21,8 @@
 
 static auto toJson(const TokenRequest &it) -> Json
 {
-    return Json::array({Kind::Request, it.number, it.caller, it.wanted, it.returned, it.hasMoved});
+    return Json::array(
+            {Kind::Request, it.number, it.caller, it.wanted, it.returned, it.hasChangedGrantor});
 }
 
 static auto toJson(const TokenGrant &it) -> Json
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -163,7 +163,7 @@
             static_cast<std::uint32_t>(std::clamp(wanted, 1L, static_cast<long>(MostTokens)));
     const auto hadOtherGrantor = !account.grantor.empty() && account.grantor != grantor
                                  && now - account.requestedAt < m_settings.idleTime;
-    message.hasMoved = hadOtherGrantor && now - m_startedAt >= StartupTime;
+    message.hasChangedGrantor = hadOtherGrantor && now - m_startedAt >= StartupTime;
     account.grantor = grantor;
     account.requestedAt = now;
     account.pendingRequests.push_back({message.number, now, isRetry});
--- a/tests/quota/TestQuotaHolder.cpp
+++ b/tests/quota/TestQuotaHolder.cpp
@@ -146,7 +146,7 @@
     const auto read = std::get<TokenRequest>(readMessage(request));
     cr_assert_eq(read.wanted, 2);
     cr_assert_eq(read.returned, 3);
-    cr_assert(read.hasMoved);
+    cr_assert(read.hasChangedGrantor);
     for (auto n = std::size_t{0}; n < request.size(); ++n)
         cr_expect_throw(readMessage(request.substr(0, n)), InputError, "%zu bytes", n);
     cr_expect_throw(readMessage(writeMessage(TokenRequest{1, "k", MostTokens + 1, 0, false})),
