--- a/include/stairspur/quota/Messages.h
+++ b/include/stairspur/quota/Messages.h
@@ -30,7 +30,7 @@
     /// Time after which requests without a token may be retried; 0 if all tokens were granted.
     Duration wait{0};
     /// False if the sender's configuration has no quota for the caller, or if the sender doesn't grant it yet after a takeover.
-    bool isKnown = true;
+    bool isGrantor = true;
 };
 
 using Message = std::variant<TokenRequest, TokenGrant>;
--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -59,7 +59,7 @@
             countHosts(now);
         auto &account = accountOf(request, quota, now);
         if (now < account.grantsFrom && Policy::TakesOverEmpty)
-            return {.number = request.number, .caller = request.caller, .isKnown = false};
+            return {.number = request.number, .caller = request.caller, .isGrantor = false};
         refill(account, quota, now);
         const auto depth = depthOf(quota) * shareAt(now);
         account.tokens = std::min(account.tokens + request.returned, depth);
--- a/source/node/GrantorService.cpp
+++ b/source/node/GrantorService.cpp
@@ -58,7 +58,7 @@
     const auto configuration = *m_board.configuration.read();
     const auto *caller = configuration ? configuration->findCaller(request.caller) : nullptr;
     if (!caller || !caller->quota)
-        return {.number = request.number, .caller = request.caller, .isKnown = false};
+        return {.number = request.number, .caller = request.caller, .isGrantor = false};
     return m_grantor.answer(request, *caller->quota, now);
 }
 
--- a/source/quota/Messages.cpp
+++ b/source/quota/Messages.cpp
@@ -28,7 +28,7 @@
 static auto toJson(const TokenGrant &it) -> Json
 {
     return Json::array(
-            {Kind::Grant, it.number, it.caller, it.granted, it.wait.count(), it.isKnown});
+            {Kind::Grant, it.number, it.caller, it.granted, it.wait.count(), it.isGrantor});
 }
 
 static auto readCount(const Json &json) -> std::uint32_t
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -182,7 +182,7 @@
         return; // The request has timed out; the tokens expire unspent.
     const auto end = pending->sentAt + m_settings.tokenLifetime;
     account.pendingRequests.clear();
-    if (!grant.isKnown)
+    if (!grant.isGrantor)
         switchToEvenShare(account, now);
     else
         account.isUsingEvenShare = false;
