--- a/include/stairspur/quota/Messages.h
+++ b/include/stairspur/quota/Messages.h
@@ -28,7 +28,7 @@
     std::string caller;
     std::uint32_t granted = 0;
     /// Time after which requests without a token may be retried; 0 if all tokens were granted.
-    Duration wait{0};
+    Duration retryAfter{0};
     /// False if the sender's configuration has no quota for the caller, or if the sender doesn't grant it yet after a takeover.
     bool isGrantor = true;
 };
--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -73,7 +73,7 @@
         account.window.add(grant.granted, now);
         account.refused += request.wanted - grant.granted;
         if (grant.granted < request.wanted)
-            grant.wait = waitTimeOf(account, quota, now);
+            grant.retryAfter = waitTimeOf(account, quota, now);
         return grant;
     }
 
--- a/source/quota/Messages.cpp
+++ b/source/quota/Messages.cpp
@@ -17,7 +17,7 @@
 
 static constexpr auto Remedy = "run one protocol version of stairspur on all nodes";
 /// Maximum wait that is accepted from a grantor, so that callers always receive a time at which a retry makes sense.
-static constexpr auto MaxWait = Duration{60'000'000};
+static constexpr auto MaxRetryAfter = Duration{60'000'000};
 
 static auto toJson(const TokenRequest &it) -> Json
 {
@@ -28,7 +28,7 @@
 static auto toJson(const TokenGrant &it) -> Json
 {
     return Json::array(
-            {Kind::Grant, it.number, it.caller, it.granted, it.wait.count(), it.isGrantor});
+            {Kind::Grant, it.number, it.caller, it.granted, it.retryAfter.count(), it.isGrantor});
 }
 
 static auto readCount(const Json &json) -> std::uint32_t
@@ -46,9 +46,9 @@
 
 static auto readGrant(const Json &json) -> TokenGrant
 {
-    const auto wait = Duration(json.at(4).get<Duration::rep>());
+    const auto retryAfter = Duration(json.at(4).get<Duration::rep>());
     return {json.at(1), json.at(2), readCount(json.at(3)),
-            std::clamp(wait, Duration::zero(), MaxWait), json.at(5)};
+            std::clamp(retryAfter, Duration::zero(), MaxRetryAfter), json.at(5)};
 }
 
 auto writeMessage(const Message &message) -> std::string
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -191,10 +191,10 @@
     removeExpired(account, now);
     // Requests are refused only for tokens that waiting requests need, not for tokens requested in advance.
     const auto isShort = stockOf(account) < account.waiting.size();
-    const auto pause = std::min(grant.wait, m_settings.mostRefusalTime);
+    const auto pause = std::min(grant.retryAfter, m_settings.mostRefusalTime);
     account.stockPauseEnd = now + pause;
-    if (isShort && grant.wait > Duration::zero()) {
-        account.refusalWait = grant.wait;
+    if (isShort && grant.retryAfter > Duration::zero()) {
+        account.refusalWait = grant.retryAfter;
         account.refusedUntil = now + pause;
     }
     serveWaiting(account, now);
--- a/tests/quota/TestQuotaHolder.cpp
+++ b/tests/quota/TestQuotaHolder.cpp
@@ -25,10 +25,10 @@
         return std::get<TokenRequest>(readMessage(sent.back().payload));
     }
 
-    auto grant(const TokenRequest &request, std::uint32_t tokens, Duration wait, TimePoint now)
-            -> void
+    auto grant(const TokenRequest &request, std::uint32_t tokens, Duration retryAfter,
+               TimePoint now) -> void
     {
-        limiter.receive({request.number, request.caller, tokens, wait, true}, now);
+        limiter.receive({request.number, request.caller, tokens, retryAfter, true}, now);
     }
 };
 
