--- a/include/stairspur/quota/Messages.h
+++ b/include/stairspur/quota/Messages.h
@@ -36,7 +36,7 @@
 using Message = std::variant<TokenRequest, TokenGrant>;
 
 /// Maximum number of tokens in one message; a message with more is invalid.
-inline constexpr auto MostTokens = std::uint32_t{1'000'000};
+inline constexpr auto MaxTokens = std::uint32_t{1'000'000};
 
 /// Returns `message` as CBOR.
 auto writeMessage(const Message &message) -> std::string;
--- a/source/quota/Messages.cpp
+++ b/source/quota/Messages.cpp
@@ -34,7 +34,7 @@
 static auto readCount(const Json &json) -> std::uint32_t
 {
     const auto count = json.get<std::uint64_t>();
-    if (!json.is_number_unsigned() || count > MostTokens)
+    if (!json.is_number_unsigned() || count > MaxTokens)
         throw InputError("a quota message has more tokens than the maximum", Remedy);
     return static_cast<std::uint32_t>(count);
 }
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -160,7 +160,7 @@
     const auto stock = static_cast<long>(stockOf(account));
     const auto wanted = static_cast<long>(account.waiting.size()) + std::max(target - stock, 0L);
     message.wanted =
-            static_cast<std::uint32_t>(std::clamp(wanted, 1L, static_cast<long>(MostTokens)));
+            static_cast<std::uint32_t>(std::clamp(wanted, 1L, static_cast<long>(MaxTokens)));
     const auto hadOtherGrantor = !account.grantor.empty() && account.grantor != grantor
                                  && now - account.requestedAt < m_settings.idleTime;
     message.hasChangedGrantor = hadOtherGrantor && now - m_startedAt >= StartupTime;
--- a/tests/quota/TestQuotaHolder.cpp
+++ b/tests/quota/TestQuotaHolder.cpp
@@ -149,7 +149,7 @@
     cr_assert(read.hasChangedGrantor);
     for (auto n = std::size_t{0}; n < request.size(); ++n)
         cr_expect_throw(readMessage(request.substr(0, n)), InputError, "%zu bytes", n);
-    cr_expect_throw(readMessage(writeMessage(TokenRequest{1, "k", MostTokens + 1, 0, false})),
+    cr_expect_throw(readMessage(writeMessage(TokenRequest{1, "k", MaxTokens + 1, 0, false})),
                     InputError);
     cr_expect_throw(readMessage("\x81\x09"), InputError);
 }
