--- a/include/stairspur/quota/GrantWindow.h
+++ b/include/stairspur/quota/GrantWindow.h
@@ -45,7 +45,7 @@
     }
 
     /// Returns the time until the oldest tokens cease to count; Length if no slot but the newest has any.
-    [[nodiscard]] auto untilRoom(TimePoint now) -> Duration
+    [[nodiscard]] auto timeUntilExpiry(TimePoint now) -> Duration
     {
         advance(now);
         for (auto age = std::uint64_t{Slots - 1}; age > 0; --age) {
--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -198,7 +198,7 @@
         const auto fill = std::chrono::duration<double>(std::min(seconds, 3600.0));
         auto wait = std::chrono::duration_cast<Duration>(fill);
         if (account.tokens >= 1)
-            wait = std::max(wait, account.window.untilRoom(now));
+            wait = std::max(wait, account.window.timeUntilExpiry(now));
         return std::clamp(wait, MinWait, MaxWait);
     }
 
