--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -20,7 +20,7 @@
 {
     /// In a network partition each side grants in proportion to the hosts that it sees alive, so that both sides together
     /// grant no more than the quota.
-    static constexpr auto SharesByHostsSeen = true;
+    static constexpr auto ScalesByAliveHosts = true;
     /// A grantor that takes over from another one starts with an empty bucket. So does a grantor that has just started: after
     /// a restart of all hosts each one is its own grantor for all callers until the other hosts are in its membership table. In
     /// a simulated restart of 22 hosts with full buckets, 1,505 requests of one caller ran in 5 s where 1,063 are allowed.
@@ -129,7 +129,7 @@
     /// Returns the share of the quota that this node may grant, 0 to 1.
     [[nodiscard]] auto shareAt(TimePoint now) const -> double
     {
-        return Policy::SharesByHostsSeen ? m_hosts / std::max(m_maxHosts, minHostsAt(now)) : 1.0;
+        return Policy::ScalesByAliveHosts ? m_hosts / std::max(m_maxHosts, minHostsAt(now)) : 1.0;
     }
 
     [[nodiscard]] auto minHostsAt(TimePoint now) const -> double
--- a/tests/quota/TestQuotaGuarantee.cpp
+++ b/tests/quota/TestQuotaGuarantee.cpp
@@ -221,7 +221,7 @@
 
 struct GrantsFullQuotaOnEachSide : GrantorPolicy
 {
-    static constexpr auto SharesByHostsSeen = false;
+    static constexpr auto ScalesByAliveHosts = false;
 };
 
 struct StartsFullAtTakeover : GrantorPolicy
