--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -24,7 +24,7 @@
     /// A grantor that takes over from another one starts with an empty bucket. So does a grantor that has just started: after
     /// a restart of all hosts each one is its own grantor for all callers until the other hosts are in its membership table. In
     /// a simulated restart of 22 hosts with full buckets, 1,505 requests of one caller ran in 5 s where 1,063 are allowed.
-    static constexpr auto TakesOverEmpty = true;
+    static constexpr auto StartsEmptyAtTakeover = true;
 };
 
 /// Grants the tokens of the callers whose grantor this node is. Performs no I/O; belongs to one thread.
@@ -58,7 +58,7 @@
         if (now >= m_nextMaturity)
             countHosts(now);
         auto &account = accountOf(request, quota, now);
-        if (now < account.grantsFrom && Policy::TakesOverEmpty)
+        if (now < account.grantsFrom && Policy::StartsEmptyAtTakeover)
             return {.number = request.number, .caller = request.caller, .isGrantor = false};
         refill(account, quota, now);
         const auto depth = depthOf(quota) * shareAt(now);
@@ -145,10 +145,10 @@
         if (isNew) {
             it->second.filledAt = now;
             const auto isTakeover = request.hasChangedGrantor || now - m_startedAt < StartupTime;
-            if (!isTakeover || !Policy::TakesOverEmpty)
+            if (!isTakeover || !Policy::StartsEmptyAtTakeover)
                 it->second.tokens = depthOf(quota) * shareAt(now);
         }
-        if (request.hasChangedGrantor && Policy::TakesOverEmpty)
+        if (request.hasChangedGrantor && Policy::StartsEmptyAtTakeover)
             it->second.fullRateAt = now + GrantWindow::Length;
         if (isNew && request.hasChangedGrantor && shareAt(now) < MinShareToTakeOver)
             it->second.grantsFrom = now + GrantWindow::Length;
--- a/tests/quota/TestQuotaGuarantee.cpp
+++ b/tests/quota/TestQuotaGuarantee.cpp
@@ -226,7 +226,7 @@
 
 struct StartsFullAtTakeover : GrantorPolicy
 {
-    static constexpr auto TakesOverEmpty = false;
+    static constexpr auto StartsEmptyAtTakeover = false;
 };
 
 template <typename Policy>
