--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -51,7 +51,7 @@
     }
 
     /// Returns the tokens that the caller's quota has for a host's request, after taking back the tokens that it returns.
-    auto answer(const TokenRequest &request, const config::RequestQuota &quota, TimePoint now)
+    auto grantTokens(const TokenRequest &request, const config::RequestQuota &quota, TimePoint now)
             -> TokenGrant
     {
         removeIdle(now);
--- a/source/node/GrantorService.cpp
+++ b/source/node/GrantorService.cpp
@@ -59,7 +59,7 @@
     const auto *caller = configuration ? configuration->findCaller(request.caller) : nullptr;
     if (!caller || !caller->quota)
         return {.number = request.number, .caller = request.caller, .isGrantor = false};
-    return m_grantor.answer(request, *caller->quota, now);
+    return m_grantor.grantTokens(request, *caller->quota, now);
 }
 
 auto GrantorService::refreshHosts(TimePoint now) -> void
--- a/tests/fuzz/quota/main.cpp
+++ b/tests/fuzz/quota/main.cpp
@@ -30,7 +30,7 @@
     try {
         const auto message = readMessage({reinterpret_cast<const char *>(data), size});
         if (const auto *request = std::get_if<TokenRequest>(&message))
-            grantor.answer(*request, Quota, start + std::chrono::seconds(1));
+            grantor.grantTokens(*request, Quota, start + std::chrono::seconds(1));
         else
             holder.receive(std::get<TokenGrant>(message), start + std::chrono::seconds(1));
     } catch (const InputError &) {
--- a/tests/quota/VirtualHosts.h
+++ b/tests/quota/VirtualHosts.h
@@ -267,7 +267,7 @@
         }
         const auto &request = std::get<TokenRequest>(message);
         const auto caller = std::ranges::find(m_callers, request.caller, &VirtualCaller::name);
-        const auto grant = host.grantor->answer(request, caller->quota, clockOf(to));
+        const auto grant = host.grantor->grantTokens(request, caller->quota, clockOf(to));
         if (request.wanted > 0)
             send(to, from, writeMessage(grant));
     }
