--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -40,7 +40,7 @@
     BasicQuotaGrantor(QuotaSettings settings, TimePoint startedAt)
         : m_settings(settings)
         , m_startedAt(startedAt)
-        , m_nodes(settings.returnTime, startedAt)
+        , m_nodes(settings.rejoinMaturity, startedAt)
     {}
 
     /// Sets the hosts that are alive, including this one.
--- a/include/stairspur/quota/QuotaSettings.h
+++ b/include/stairspur/quota/QuotaSettings.h
@@ -18,7 +18,7 @@
     /// of a window add to those granted within it: 0.3 s of the rate, where 0.5 s are allowed.
     Duration tokenLifetime{300'000};
     /// Time for which a host requests tokens in advance, so that requests of a busy caller find tokens in stock.
-    Duration stockTime{100'000};
+    Duration prefetchTime{100'000};
     /// Time after which a request for tokens or its response counts as lost, or the grantor as gone. The host sends the request
     /// once more and then goes on without a grantor. A round trip between failure domains to a busy grantor takes some
     /// milliseconds.
@@ -26,12 +26,12 @@
     /// Interval at which a grantor that does not respond is queried again.
     Duration probeInterval{250'000};
     /// Maximum time for which a host applies a grantor's refusal, whatever retry time it reports to callers.
-    Duration mostRefusalTime{100'000};
+    Duration maxRefusalTime{100'000};
     /// Time after which a new node may be selected as a grantor: all others have it in their membership tables by then.
     Duration maturity{2'000'000};
     /// Time after which hosts that are reachable again count for the share that a grantor may grant: none of them sends
     /// requests to another grantor any more.
-    Duration returnTime{3'000'000};
+    Duration rejoinMaturity{3'000'000};
     /// Time without use after which the account of a caller is removed.
     Duration idleTime{30'000'000};
 };
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -141,7 +141,7 @@
             requestTokens(caller, account, now, false);
         return;
     }
-    const auto target = account.demand * secondsOf(m_settings.stockTime);
+    const auto target = account.demand * secondsOf(m_settings.prefetchTime);
     const auto isLow = now >= account.stockPauseEnd && 2.0 * stockOf(account) < std::round(target);
     if (!account.waiting.empty() || isLow)
         requestTokens(caller, account, now, false);
@@ -156,7 +156,7 @@
     auto message = TokenRequest();
     message.number = m_random();
     message.caller = caller;
-    const auto target = std::lround(account.demand * secondsOf(m_settings.stockTime));
+    const auto target = std::lround(account.demand * secondsOf(m_settings.prefetchTime));
     const auto stock = static_cast<long>(stockOf(account));
     const auto wanted = static_cast<long>(account.waiting.size()) + std::max(target - stock, 0L);
     message.wanted =
@@ -191,7 +191,7 @@
     removeExpired(account, now);
     // Requests are refused only for tokens that waiting requests need, not for tokens requested in advance.
     const auto isShort = stockOf(account) < account.waiting.size();
-    const auto pause = std::min(grant.retryAfter, m_settings.mostRefusalTime);
+    const auto pause = std::min(grant.retryAfter, m_settings.maxRefusalTime);
     account.stockPauseEnd = now + pause;
     if (isShort && grant.retryAfter > Duration::zero()) {
         account.refusalWait = grant.retryAfter;
