--- a/include/stairspur/quota/QuotaGrantor.h
+++ b/include/stairspur/quota/QuotaGrantor.h
@@ -61,8 +61,8 @@
         if (now < account.grantsFrom && Policy::StartsEmptyAtTakeover)
             return {.number = request.number, .caller = request.caller, .isGrantor = false};
         refill(account, quota, now);
-        const auto depth = depthOf(quota) * shareAt(now);
-        account.tokens = std::min(account.tokens + request.returned, depth);
+        const auto capacity = bucketCapacity(quota) * shareAt(now);
+        account.tokens = std::min(account.tokens + request.returned, capacity);
         account.window.remove(request.returned, now);
         const auto room =
                 std::max(maxInWindow(quota) * shareAt(now) - account.window.sum(now), 0.0);
@@ -146,7 +146,7 @@
             it->second.filledAt = now;
             const auto isTakeover = request.hasChangedGrantor || now - m_startedAt < StartupTime;
             if (!isTakeover || !Policy::StartsEmptyAtTakeover)
-                it->second.tokens = depthOf(quota) * shareAt(now);
+                it->second.tokens = bucketCapacity(quota) * shareAt(now);
         }
         if (request.hasChangedGrantor && Policy::StartsEmptyAtTakeover)
             it->second.fullRateAt = now + GrantWindow::Length;
--- a/include/stairspur/quota/QuotaSettings.h
+++ b/include/stairspur/quota/QuotaSettings.h
@@ -38,7 +38,7 @@
 
 /// Returns the capacity of a grantor's bucket, in tokens. A quota without a burst still needs capacity for the requests that
 /// arrive at many hosts between two of their messages. The grantor's window limits what is granted, whatever the capacity.
-inline auto depthOf(const config::RequestQuota &quota) -> double
+inline auto bucketCapacity(const config::RequestQuota &quota) -> double
 {
     static constexpr auto BetweenRequests = 0.2; // Seconds.
     static constexpr auto MostRoom = 20.0;
