--- a/include/stairspur/quota/QuotaSettings.h
+++ b/include/stairspur/quota/QuotaSettings.h
@@ -40,9 +40,10 @@
 /// arrive at many hosts between two of their messages. The grantor's window limits what is granted, whatever the capacity.
 inline auto bucketCapacity(const config::RequestQuota &quota) -> double
 {
-    static constexpr auto BetweenRequests = 0.2; // Seconds.
-    static constexpr auto MostRoom = 20.0;
-    return quota.burst + std::clamp(quota.requestsPerSecond * BetweenRequests, 1.0, MostRoom);
+    // Seconds between two requests for tokens of a host.
+    static constexpr auto BetweenRequests = 0.2;
+    static constexpr auto MaxExtraTokens = 20.0;
+    return quota.burst + std::clamp(quota.requestsPerSecond * BetweenRequests, 1.0, MaxExtraTokens);
 }
 
 } // namespace stairspur::quota
--- a/source/quota/QuotaHolder.cpp
+++ b/source/quota/QuotaHolder.cpp
@@ -96,8 +96,8 @@
     const auto rate = account.quota.requestsPerSecond / static_cast<double>(m_hosts)
                       * (account.isContended ? ContendedShare : 1.0);
     const auto earned = rate * secondsOf(now - account.shareFilledAt);
-    const auto most = initialShare(account.quota) + 1;
-    account.shareTokens = std::min(account.shareTokens + earned, most);
+    const auto capacity = initialShare(account.quota) + 1;
+    account.shareTokens = std::min(account.shareTokens + earned, capacity);
     account.shareFilledAt = now;
     if (account.shareTokens < 1)
         return refuse(request, UnresponsiveRetryAfter);
--- a/tests/measure/quota/main.cpp
+++ b/tests/measure/quota/main.cpp
@@ -54,7 +54,7 @@
     auto result = Result();
     auto offered = 0.0;
     for (const auto &it : virtualHosts.callers()) {
-        result.window = std::max(result.window, static_cast<double>(it.window.most)
+        result.window = std::max(result.window, static_cast<double>(it.window.maxRuns)
                                                         / QuotaGuarantee::maxRequests(it.quota));
         result.refused += static_cast<double>(it.refused);
         result.delayed += static_cast<double>(it.delayed);
@@ -110,7 +110,7 @@
                 window.addRun(now);
             }
         }
-        result.window = std::max(result.window, static_cast<double>(window.most)
+        result.window = std::max(result.window, static_cast<double>(window.maxRuns)
                                                         / QuotaGuarantee::maxRequests(quota));
     }
     result.refused /= offered;
--- a/tests/quota/TestQuotaGuarantee.cpp
+++ b/tests/quota/TestQuotaGuarantee.cpp
@@ -155,10 +155,10 @@
                 hosts.run(2s);
                 fault.scenario(hosts);
                 for (const auto &it : hosts.callers())
-                    cr_expect_leq(static_cast<double>(it.window.most),
+                    cr_expect_leq(static_cast<double>(it.window.maxRuns),
                                   QuotaGuarantee::maxRequests(it.quota),
                                   "%u hosts, %s, %.1f times, rate %.0f: %zu of %.0f", n, fault.name,
-                                  times, it.quota.requestsPerSecond, it.window.most,
+                                  times, it.quota.requestsPerSecond, it.window.maxRuns,
                                   QuotaGuarantee::maxRequests(it.quota));
             }
         }
@@ -236,7 +236,7 @@
     auto &caller = hosts.addCaller("c", {353, 353}, demandOf({353, 353}, 7.5));
     hosts.run(5s);
     scenario(hosts);
-    return static_cast<double>(caller.window.most);
+    return static_cast<double>(caller.window.maxRuns);
 }
 
 /// Runs a takeover: a third of the hosts restarts and takes over its callers from other grantors while these callers exceed
@@ -258,20 +258,20 @@
     for (auto &it : hosts.callers())
         it.demand = demandOf(it.quota, 7.5);
     hosts.run(6s);
-    auto most = std::uint64_t{0};
+    auto maxRuns = std::uint64_t{0};
     for (const auto &it : hosts.callers())
-        most = std::max(most, it.window.most);
-    return static_cast<double>(most);
+        maxRuns = std::max(maxRuns, it.window.maxRuns);
+    return static_cast<double>(maxRuns);
 }
 
 Test(QuotaGuarantee, quotaIsExceededWithoutEachSafeguard)
 {
-    const auto most = QuotaGuarantee::maxRequests({353, 353});
+    const auto maxRuns = QuotaGuarantee::maxRequests({353, 353});
     cr_expect_gt(
             fullestWindowOf<GrantsFullQuotaOnEachSide>([](auto &hosts) { partition(hosts, 68); }),
-            most);
-    cr_expect_gt(fullestWindowAtTakeover<StartsFullAtTakeover>(), most);
-    cr_expect_leq(fullestWindowAtTakeover<GrantorPolicy>(), most);
+            maxRuns);
+    cr_expect_gt(fullestWindowAtTakeover<StartsFullAtTakeover>(), maxRuns);
+    cr_expect_leq(fullestWindowAtTakeover<GrantorPolicy>(), maxRuns);
 }
 
 Test(QuotaGuarantee, loweredQuotaAppliesAfterOneWindow)
@@ -283,6 +283,6 @@
     hosts.run(1s);
     caller.window = {};
     hosts.run(10s);
-    cr_expect_leq(static_cast<double>(caller.window.most),
+    cr_expect_leq(static_cast<double>(caller.window.maxRuns),
                   QuotaGuarantee::maxRequests(caller.quota));
 }
--- a/tests/quota/TestQuotaHolder.cpp
+++ b/tests/quota/TestQuotaHolder.cpp
@@ -10,17 +10,17 @@
 static constexpr auto Now = TimePoint{1h};
 static constexpr auto Quota = config::RequestQuota{100, 100};
 
-/// One of three hosts.
+/// One of three hosts, with its QuotaHolder.
 struct TestHost
 {
-    QuotaHolder limiter{QuotaSettings(), 7, Now};
+    QuotaHolder holder{QuotaSettings(), 7, Now};
 
-    TestHost() { limiter.setNodes({{"a"}, {"b"}, {"c"}}, Now); }
+    TestHost() { holder.setNodes({{"a"}, {"b"}, {"c"}}, Now); }
 
     /// Returns the last request for tokens that it sent.
     auto lastRequest() -> TokenRequest
     {
-        const auto sent = limiter.takeDatagrams();
+        const auto sent = holder.takeDatagrams();
         cr_assert(!sent.empty());
         return std::get<TokenRequest>(readMessage(sent.back().payload));
     }
@@ -28,20 +28,20 @@
     auto grant(const TokenRequest &request, std::uint32_t tokens, Duration retryAfter,
                TimePoint now) -> void
     {
-        limiter.receive({request.number, request.caller, tokens, retryAfter, true}, now);
+        holder.receive({request.number, request.caller, tokens, retryAfter, true}, now);
     }
 };
 
 Test(QuotaHolder, requestWaitsForGrant)
 {
     auto host = TestHost();
-    host.limiter.offer(1, "kitchen", Quota, Now);
-    cr_assert(host.limiter.takeDecisions().empty());
+    host.holder.offer(1, "kitchen", Quota, Now);
+    cr_assert(host.holder.takeDecisions().empty());
     const auto request = host.lastRequest();
     cr_assert_eq(request.caller, "kitchen");
     cr_assert_eq(request.wanted, 1);
     host.grant(request, 1, 0us, Now + 2ms);
-    const auto decisions = host.limiter.takeDecisions();
+    const auto decisions = host.holder.takeDecisions();
     cr_assert_eq(decisions.size(), 1);
     cr_assert(decisions[0].isAdmitted);
     cr_assert(decisions[0].tokenExpiry == Now + 300ms,
@@ -51,40 +51,40 @@
 Test(QuotaHolder, requestsBeyondTheQuotaAreRefusedWithTheGrantorsRetryTime)
 {
     auto host = TestHost();
-    host.limiter.offer(1, "kitchen", Quota, Now);
+    host.holder.offer(1, "kitchen", Quota, Now);
     host.grant(host.lastRequest(), 0, 400ms, Now + 2ms);
-    host.limiter.offer(2, "kitchen", Quota, Now + 3ms);
-    const auto decisions = host.limiter.takeDecisions();
+    host.holder.offer(2, "kitchen", Quota, Now + 3ms);
+    const auto decisions = host.holder.takeDecisions();
     cr_assert_eq(decisions.size(), 2);
     for (const auto &it : decisions) {
         cr_expect(!it.isAdmitted);
         cr_expect(it.retryAfter == 400ms);
     }
-    cr_assert(host.limiter.takeDatagrams().empty(),
+    cr_assert(host.holder.takeDatagrams().empty(),
               "no request for tokens is sent before the retry time");
 }
 
 Test(QuotaHolder, returnedTokenAdmitsAnotherRequest)
 {
     auto host = TestHost();
-    host.limiter.offer(1, "kitchen", Quota, Now);
+    host.holder.offer(1, "kitchen", Quota, Now);
     host.grant(host.lastRequest(), 1, 0us, Now + 2ms);
-    const auto first = host.limiter.takeDecisions().at(0);
-    host.limiter.returnToken("kitchen", first.tokenExpiry, Now + 50ms);
-    host.limiter.offer(2, "kitchen", Quota, Now + 60ms);
-    cr_assert(host.limiter.takeDecisions().at(0).isAdmitted);
-    host.limiter.returnToken("kitchen", first.tokenExpiry, Now + 301ms);
-    host.limiter.offer(3, "kitchen", Quota, Now + 302ms);
-    cr_assert(host.limiter.takeDecisions().empty(), "an expired token admits no request");
+    const auto first = host.holder.takeDecisions().at(0);
+    host.holder.returnToken("kitchen", first.tokenExpiry, Now + 50ms);
+    host.holder.offer(2, "kitchen", Quota, Now + 60ms);
+    cr_assert(host.holder.takeDecisions().at(0).isAdmitted);
+    host.holder.returnToken("kitchen", first.tokenExpiry, Now + 301ms);
+    host.holder.offer(3, "kitchen", Quota, Now + 302ms);
+    cr_assert(host.holder.takeDecisions().empty(), "an expired token admits no request");
 }
 
 Test(QuotaHolder, unusedTokensAreReturnedBeforeTheyExpire)
 {
     auto host = TestHost();
-    host.limiter.offer(1, "kitchen", Quota, Now);
+    host.holder.offer(1, "kitchen", Quota, Now);
     host.grant(host.lastRequest(), 5, 0us, Now + 2ms);
-    host.limiter.takeDatagrams();
-    host.limiter.tick(Now + 260ms);
+    host.holder.takeDatagrams();
+    host.holder.tick(Now + 260ms);
     cr_assert_eq(host.lastRequest().returned, 4);
 }
 
@@ -95,9 +95,9 @@
     auto admitted = 0;
     for (auto n = 0; n < 2000; ++n) {
         const auto now = Now + n * 5ms;
-        host.limiter.offer(n, "kitchen", Quota, now);
-        host.limiter.tick(now);
-        for (const auto &it : host.limiter.takeDecisions())
+        host.holder.offer(n, "kitchen", Quota, now);
+        host.holder.tick(now);
+        for (const auto &it : host.holder.takeDecisions())
             admitted += it.isAdmitted ? 1 : 0;
     }
     cr_assert(admitted > 300 && admitted < 350, "%d in 10 s, expected a third of 100 per second",
@@ -107,37 +107,37 @@
 Test(QuotaHolder, tokensOfAReachableGrantorAreUsedAgain)
 {
     auto host = TestHost();
-    host.limiter.offer(1, "kitchen", Quota, Now);
-    host.limiter.tick(Now + 100ms);
-    host.limiter.tick(Now + 200ms);
-    cr_assert_eq(host.limiter.takeDecisions().size(), 1,
+    host.holder.offer(1, "kitchen", Quota, Now);
+    host.holder.tick(Now + 100ms);
+    host.holder.tick(Now + 200ms);
+    cr_assert_eq(host.holder.takeDecisions().size(), 1,
                  "the request was decided without the grantor");
-    host.limiter.takeDatagrams();
-    host.limiter.offer(2, "kitchen", Quota, Now + 500ms);
-    host.limiter.takeDecisions();
+    host.holder.takeDatagrams();
+    host.holder.offer(2, "kitchen", Quota, Now + 500ms);
+    host.holder.takeDecisions();
     host.grant(host.lastRequest(), 9, 0us, Now + 501ms);
-    host.limiter.offer(3, "kitchen", Quota, Now + 502ms);
-    cr_assert(host.limiter.takeDecisions().at(0).isAdmitted);
+    host.holder.offer(3, "kitchen", Quota, Now + 502ms);
+    cr_assert(host.holder.takeDecisions().at(0).isAdmitted);
 }
 
 Test(QuotaHolder, lateOrForgedGrantIsIgnored)
 {
     auto host = TestHost();
-    host.limiter.offer(1, "kitchen", Quota, Now);
+    host.holder.offer(1, "kitchen", Quota, Now);
     auto request = host.lastRequest();
     request.number += 1;
     host.grant(request, 100, 0us, Now + 2ms);
-    cr_assert(host.limiter.takeDecisions().empty());
+    cr_assert(host.holder.takeDecisions().empty());
     request.number -= 1;
     host.grant(request, 100, 0us, Now + 301ms);
-    cr_assert(host.limiter.takeDecisions().empty(), "its tokens had expired on arrival");
+    cr_assert(host.holder.takeDecisions().empty(), "its tokens had expired on arrival");
 }
 
 Test(QuotaHolder, requestIsDecidedWithoutAnyNode)
 {
-    auto limiter = QuotaHolder(QuotaSettings(), 7, Now);
-    limiter.offer(1, "kitchen", Quota, Now);
-    cr_assert_eq(limiter.takeDecisions().size(), 1);
+    auto holder = QuotaHolder(QuotaSettings(), 7, Now);
+    holder.offer(1, "kitchen", Quota, Now);
+    cr_assert_eq(holder.takeDecisions().size(), 1);
 }
 
 Test(QuotaMessages, invalidMessagesAreRejected)
--- a/tests/quota/VirtualHosts.h
+++ b/tests/quota/VirtualHosts.h
@@ -42,10 +42,10 @@
                 now - Duration{static_cast<Duration::rep>(QuotaGuarantee::WindowSeconds * 1e6)};
         while (m_runs.front() <= start)
             m_runs.pop_front();
-        most = std::max<std::uint64_t>(most, m_runs.size());
+        maxRuns = std::max<std::uint64_t>(maxRuns, m_runs.size());
     }
 
-    std::uint64_t most = 0;
+    std::uint64_t maxRuns = 0; ///< Requests in the fullest window.
 
 private:
     std::deque<TimePoint> m_runs;
