--- a/source/quota/KnownNodes.cpp
+++ b/source/quota/AliveNodes.cpp
@@ -1,35 +1,36 @@
-#include <stairspur/quota/KnownNodes.h>
+#include <stairspur/quota/AliveNodes.h>
 
 #include <algorithm>
 #include <set>
 
 namespace stairspur::quota {
 
-auto KnownNodes::matureTimeOf(const StartedNode &node, Incarnation newest, TimePoint now) const
+auto AliveNodes::matureTimeOf(const AliveNode &node, Incarnation newest, TimePoint now) const
         -> TimePoint
 {
-    static constexpr auto StartMilliseconds = static_cast<Incarnation>(toMilliseconds(StartTime));
-    if (now - m_startedAt >= StartTime)
+    static constexpr auto StartupMilliseconds =
+            static_cast<Incarnation>(toMilliseconds(StartupTime));
+    if (now - m_startedAt >= StartupTime)
         return now + m_maturity;
-    const auto wasThereBefore = node.start + StartMilliseconds < newest;
-    // Those that started with this node are as old as it is, whenever it met them.
+    const auto wasThereBefore = node.incarnation + StartupMilliseconds < newest;
+    // A node that started together with this one becomes mature together with it, whenever it appears.
     return wasThereBefore ? now : std::max(now, m_startedAt + m_maturity);
 }
 
-auto KnownNodes::setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void
+auto AliveNodes::setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void
 {
     auto alive = std::set<NodeId>();
     auto newest = Incarnation{0};
     for (const auto &it : nodes) {
         alive.insert(it.node);
-        newest = std::max(newest, it.start);
+        newest = std::max(newest, it.incarnation);
     }
     std::erase_if(m_matureAt, [&](const auto &it) { return !alive.contains(it.first); });
     for (const auto &it : nodes)
         m_matureAt.emplace(it.node, matureTimeOf(it, newest, now));
 }
 
-auto KnownNodes::mature(TimePoint now) const -> std::vector<NodeId>
+auto AliveNodes::mature(TimePoint now) const -> std::vector<NodeId>
 {
     auto nodes = std::vector<NodeId>();
     for (const auto &[node, matureAt] : m_matureAt) {
@@ -43,7 +44,7 @@
     return nodes;
 }
 
-auto KnownNodes::nextMaturity(TimePoint now) const -> TimePoint
+auto AliveNodes::nextMaturity(TimePoint now) const -> TimePoint
 {
     auto next = TimePoint::max();
     for (const auto &[node, matureAt] : m_matureAt) {
--- a/source/quota/GrantorChoice.cpp
+++ b/source/quota/GrantorSelector.cpp
@@ -1,4 +1,4 @@
-#include <stairspur/quota/GrantorChoice.h>
+#include <stairspur/quota/GrantorSelector.h>
 
 #include <algorithm>
 
@@ -6,26 +6,26 @@
 
 namespace stairspur::quota {
 
-auto GrantorChoice::setNodes(const std::vector<StartedNode> &nodes, TimePoint now) -> void
+auto GrantorSelector::setNodes(const std::vector<AliveNode> &nodes, TimePoint now) -> void
 {
     m_nodes.setNodes(nodes, now);
     refresh(now);
 }
 
-auto GrantorChoice::refresh(TimePoint now) -> void
+auto GrantorSelector::refresh(TimePoint now) -> void
 {
     m_chosen.clear();
     m_candidates = m_nodes.mature(now);
     m_nextMaturity = m_nodes.nextMaturity(now);
 }
 
-auto GrantorChoice::of(const std::string &caller, TimePoint now) -> NodeId
+auto GrantorSelector::grantorOf(const std::string &caller, TimePoint now) -> NodeId
 {
     if (now >= m_nextMaturity)
         refresh(now);
-    const auto known = m_chosen.find(caller);
-    if (known != m_chosen.end())
-        return known->second;
+    const auto cached = m_chosen.find(caller);
+    if (cached != m_chosen.end())
+        return cached->second;
     if (m_candidates.empty())
         return {};
     const auto seed = hash64(caller);
--- a/tests/fuzz/quota/main.cpp
+++ b/tests/fuzz/quota/main.cpp
@@ -1,4 +1,4 @@
-// Datagrams between hosts and the grantors of callers' quotas, after the check of their HMAC.
+// Fuzzes the datagrams between hosts and the grantors of callers' quotas, as they are read after the check of their HMAC.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
@@ -15,7 +15,7 @@
 
 static auto makeSamples() -> std::vector<std::string>
 {
-    return {writeMessage(TokenAsk{1, "kitchen", 2, 3, true}),
+    return {writeMessage(TokenRequest{1, "kitchen", 2, 3, true}),
             writeMessage(TokenGrant{1, "kitchen", 2, Duration{7}, true})};
 }
 
@@ -29,12 +29,12 @@
     holder.offer(1, "kitchen", Quota, start);
     try {
         const auto message = readMessage({reinterpret_cast<const char *>(data), size});
-        if (const auto *ask = std::get_if<TokenAsk>(&message))
-            grantor.answer(*ask, Quota, start + std::chrono::seconds(1));
+        if (const auto *request = std::get_if<TokenRequest>(&message))
+            grantor.grantTokens(*request, Quota, start + std::chrono::seconds(1));
         else
             holder.receive(std::get<TokenGrant>(message), start + std::chrono::seconds(1));
     } catch (const InputError &) {
-        return 0; // The one error that the service expects.
+        return 0; // The service catches only this error.
     }
     holder.tick(start + std::chrono::seconds(2));
     return 0;
--- a/tests/quota/TestQuotaHolder.cpp
+++ b/tests/quota/TestQuotaHolder.cpp
@@ -10,141 +10,146 @@
 static constexpr auto Now = TimePoint{1h};
 static constexpr auto Quota = config::RequestQuota{100, 100};
 
-/// A holder among three hosts, and what it asked for last.
-struct Holder
+/// One of three hosts, with its QuotaHolder.
+struct TestHost
 {
-    QuotaHolder state{QuotaSettings(), 7, Now};
+    QuotaHolder holder{QuotaSettings(), 7, Now};
 
-    Holder() { state.setNodes({{"a"}, {"b"}, {"c"}}, Now); }
+    TestHost() { holder.setNodes({{"a"}, {"b"}, {"c"}}, Now); }
 
-    auto lastAsk() -> TokenAsk
+    /// Returns the last request for tokens that it sent.
+    auto lastRequest() -> TokenRequest
     {
-        const auto sent = state.takeDatagrams();
+        const auto sent = holder.takeDatagrams();
         cr_assert(!sent.empty());
-        return std::get<TokenAsk>(readMessage(sent.back().payload));
+        return std::get<TokenRequest>(readMessage(sent.back().payload));
     }
 
-    auto grant(const TokenAsk &ask, std::uint32_t tokens, Duration wait, TimePoint now) -> void
+    auto grant(const TokenRequest &request, std::uint32_t tokens, Duration retryAfter,
+               TimePoint now) -> void
     {
-        state.receive({ask.number, ask.caller, tokens, wait, true}, now);
+        holder.receive({request.number, request.caller, tokens, retryAfter, true}, now);
     }
 };
 
-Test(QuotaHolder, aRequestWaitsForTheGrantorsTokens)
+Test(QuotaHolder, requestWaitsForGrant)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    cr_assert(holder.state.takeDecisions().empty());
-    const auto ask = holder.lastAsk();
-    cr_assert_eq(ask.caller, "kitchen");
-    cr_assert_eq(ask.wanted, 1);
-    holder.grant(ask, 1, 0us, Now + 2ms);
-    const auto decisions = holder.state.takeDecisions();
+    auto host = TestHost();
+    host.holder.offer(1, "kitchen", Quota, Now);
+    cr_assert(host.holder.takeDecisions().empty());
+    const auto request = host.lastRequest();
+    cr_assert_eq(request.caller, "kitchen");
+    cr_assert_eq(request.wanted, 1);
+    host.grant(request, 1, 0us, Now + 2ms);
+    const auto decisions = host.holder.takeDecisions();
     cr_assert_eq(decisions.size(), 1);
     cr_assert(decisions[0].isAdmitted);
-    cr_assert(decisions[0].tokenEnd == Now + 300ms, "it counts from the asking");
+    cr_assert(decisions[0].tokenExpiry == Now + 300ms,
+              "the expiry counts from the request for tokens");
 }
 
-Test(QuotaHolder, beyondTheQuotaItIsRefusedAtOnceWithATrueTime)
+Test(QuotaHolder, requestsBeyondTheQuotaAreRefusedWithTheGrantorsRetryTime)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    holder.grant(holder.lastAsk(), 0, 400ms, Now + 2ms);
-    holder.state.offer(2, "kitchen", Quota, Now + 3ms);
-    const auto decisions = holder.state.takeDecisions();
+    auto host = TestHost();
+    host.holder.offer(1, "kitchen", Quota, Now);
+    host.grant(host.lastRequest(), 0, 400ms, Now + 2ms);
+    host.holder.offer(2, "kitchen", Quota, Now + 3ms);
+    const auto decisions = host.holder.takeDecisions();
     cr_assert_eq(decisions.size(), 2);
     for (const auto &it : decisions) {
         cr_expect(!it.isAdmitted);
         cr_expect(it.retryAfter == 400ms);
     }
-    cr_assert(holder.state.takeDatagrams().empty(), "nobody is asked again so soon");
+    cr_assert(host.holder.takeDatagrams().empty(),
+              "no request for tokens is sent before the retry time");
 }
 
-Test(QuotaHolder, aTokenServesAnotherRequestWhenItsOwnDidNotRun)
+Test(QuotaHolder, returnedTokenAdmitsAnotherRequest)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    holder.grant(holder.lastAsk(), 1, 0us, Now + 2ms);
-    const auto first = holder.state.takeDecisions().at(0);
-    holder.state.giveBack("kitchen", first.tokenEnd, Now + 50ms);
-    holder.state.offer(2, "kitchen", Quota, Now + 60ms);
-    cr_assert(holder.state.takeDecisions().at(0).isAdmitted);
-    holder.state.giveBack("kitchen", first.tokenEnd, Now + 301ms);
-    holder.state.offer(3, "kitchen", Quota, Now + 302ms);
-    cr_assert(holder.state.takeDecisions().empty(), "a token that has ended serves nobody");
+    auto host = TestHost();
+    host.holder.offer(1, "kitchen", Quota, Now);
+    host.grant(host.lastRequest(), 1, 0us, Now + 2ms);
+    const auto first = host.holder.takeDecisions().at(0);
+    host.holder.returnToken("kitchen", first.tokenExpiry, Now + 50ms);
+    host.holder.offer(2, "kitchen", Quota, Now + 60ms);
+    cr_assert(host.holder.takeDecisions().at(0).isAdmitted);
+    host.holder.returnToken("kitchen", first.tokenExpiry, Now + 301ms);
+    host.holder.offer(3, "kitchen", Quota, Now + 302ms);
+    cr_assert(host.holder.takeDecisions().empty(), "an expired token admits no request");
 }
 
-Test(QuotaHolder, tokensThatNobodyWantsGoBack)
+Test(QuotaHolder, unusedTokensAreReturnedBeforeTheyExpire)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    holder.grant(holder.lastAsk(), 5, 0us, Now + 2ms);
-    holder.state.takeDatagrams();
-    holder.state.tick(Now + 260ms);
-    cr_assert_eq(holder.lastAsk().returned, 4);
+    auto host = TestHost();
+    host.holder.offer(1, "kitchen", Quota, Now);
+    host.grant(host.lastRequest(), 5, 0us, Now + 2ms);
+    host.holder.takeDatagrams();
+    host.holder.tick(Now + 260ms);
+    cr_assert_eq(host.lastRequest().returned, 4);
 }
 
-/// Behind a cut a host goes on with its even share, and no more.
-Test(QuotaHolder, withoutAGrantorItAdmitsItsEvenShare)
+/// A host whose grantor is unreachable must admit its even share of the quota, and no more.
+Test(QuotaHolder, evenShareIsAdmittedWithoutGrantor)
 {
-    auto holder = Holder();
+    auto host = TestHost();
     auto admitted = 0;
     for (auto n = 0; n < 2000; ++n) {
         const auto now = Now + n * 5ms;
-        holder.state.offer(n, "kitchen", Quota, now);
-        holder.state.tick(now);
-        for (const auto &it : holder.state.takeDecisions())
+        host.holder.offer(n, "kitchen", Quota, now);
+        host.holder.tick(now);
+        for (const auto &it : host.holder.takeDecisions())
             admitted += it.isAdmitted ? 1 : 0;
     }
-    cr_assert(admitted > 300 && admitted < 350, "%d in 10 s, a third of 100 a second is due",
+    cr_assert(admitted > 300 && admitted < 350, "%d in 10 s, expected a third of 100 per second",
               admitted);
 }
 
-Test(QuotaHolder, aGrantorThatIsBackGrantsAgain)
+Test(QuotaHolder, tokensOfAReachableGrantorAreUsedAgain)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    holder.state.tick(Now + 100ms);
-    holder.state.tick(Now + 200ms);
-    cr_assert_eq(holder.state.takeDecisions().size(), 1, "it was decided without the grantor");
-    holder.state.takeDatagrams();
-    holder.state.offer(2, "kitchen", Quota, Now + 500ms);
-    holder.state.takeDecisions();
-    holder.grant(holder.lastAsk(), 9, 0us, Now + 501ms);
-    holder.state.offer(3, "kitchen", Quota, Now + 502ms);
-    cr_assert(holder.state.takeDecisions().at(0).isAdmitted);
+    auto host = TestHost();
+    host.holder.offer(1, "kitchen", Quota, Now);
+    host.holder.tick(Now + 100ms);
+    host.holder.tick(Now + 200ms);
+    cr_assert_eq(host.holder.takeDecisions().size(), 1,
+                 "the request was decided without the grantor");
+    host.holder.takeDatagrams();
+    host.holder.offer(2, "kitchen", Quota, Now + 500ms);
+    host.holder.takeDecisions();
+    host.grant(host.lastRequest(), 9, 0us, Now + 501ms);
+    host.holder.offer(3, "kitchen", Quota, Now + 502ms);
+    cr_assert(host.holder.takeDecisions().at(0).isAdmitted);
 }
 
-Test(QuotaHolder, aLateOrForgedGrantIsNotTaken)
+Test(QuotaHolder, lateOrForgedGrantIsIgnored)
 {
-    auto holder = Holder();
-    holder.state.offer(1, "kitchen", Quota, Now);
-    auto ask = holder.lastAsk();
-    ask.number += 1;
-    holder.grant(ask, 100, 0us, Now + 2ms);
-    cr_assert(holder.state.takeDecisions().empty());
-    ask.number -= 1;
-    holder.grant(ask, 100, 0us, Now + 301ms);
-    cr_assert(holder.state.takeDecisions().empty(), "its tokens have ended on the way");
+    auto host = TestHost();
+    host.holder.offer(1, "kitchen", Quota, Now);
+    auto request = host.lastRequest();
+    request.number += 1;
+    host.grant(request, 100, 0us, Now + 2ms);
+    cr_assert(host.holder.takeDecisions().empty());
+    request.number -= 1;
+    host.grant(request, 100, 0us, Now + 301ms);
+    cr_assert(host.holder.takeDecisions().empty(), "its tokens had expired on arrival");
 }
 
-Test(QuotaHolder, withoutAnyNodeItStillDecides)
+Test(QuotaHolder, requestIsDecidedWithoutAnyNode)
 {
-    auto state = QuotaHolder(QuotaSettings(), 7, Now);
-    state.offer(1, "kitchen", Quota, Now);
-    cr_assert_eq(state.takeDecisions().size(), 1);
+    auto holder = QuotaHolder(QuotaSettings(), 7, Now);
+    holder.offer(1, "kitchen", Quota, Now);
+    cr_assert_eq(holder.takeDecisions().size(), 1);
 }
 
-Test(QuotaMessages, whatCannotBeReadIsRefused)
+Test(QuotaMessages, invalidMessagesAreRejected)
 {
-    const auto ask = writeMessage(TokenAsk{1, "kitchen", 2, 3, true});
-    const auto read = std::get<TokenAsk>(readMessage(ask));
+    const auto request = writeMessage(TokenRequest{1, "kitchen", 2, 3, true});
+    const auto read = std::get<TokenRequest>(readMessage(request));
     cr_assert_eq(read.wanted, 2);
     cr_assert_eq(read.returned, 3);
-    cr_assert(read.hasMoved);
-    for (auto n = std::size_t{0}; n < ask.size(); ++n)
-        cr_expect_throw(readMessage(ask.substr(0, n)), InputError, "%zu bytes", n);
-    cr_expect_throw(readMessage(writeMessage(TokenAsk{1, "k", MostTokens + 1, 0, false})),
+    cr_assert(read.hasChangedGrantor);
+    for (auto n = std::size_t{0}; n < request.size(); ++n)
+        cr_expect_throw(readMessage(request.substr(0, n)), InputError, "%zu bytes", n);
+    cr_expect_throw(readMessage(writeMessage(TokenRequest{1, "k", MaxTokens + 1, 0, false})),
                     InputError);
     cr_expect_throw(readMessage("\x81\x09"), InputError);
 }
