--- a/include/stairspur/membership/Announcement.h
+++ b/include/stairspur/membership/Announcement.h
@@ -10,40 +10,43 @@
 
 namespace stairspur::membership {
 
-/// An announcement that cannot be taken. The message names the field and what to send instead.
+/// Thrown for an announcement that is refused. The message names the field and the value to send instead.
 class AnnouncementError : public InputError
 {
 public:
     using InputError::InputError;
 };
 
-/// One life of a backend server: from its start to its end. A server that starts again may keep its name, so that only
-/// the time of the start tells its lives apart.
+/// One process instance of a backend server, from its start to its end. A server may keep its name over a restart;
+/// then only the start time distinguishes its process instances.
 struct BackendLife
 {
-    std::string instance;          ///< Empty where the server has no name.
-    std::uint64_t startedAtMs = 0; ///< Unix milliseconds by its host's clock; 0: not told.
+    std::string instance; ///< Name of the server; empty if it has none.
+    /// Start in Unix milliseconds by the host's clock; 0 if it was not sent.
+    std::uint64_t startedAtMs = 0;
 
     auto operator==(const BackendLife &) const -> bool = default;
 };
 
-/// What a backend server says of itself to its host's node, every second.
+/// The state of a backend server, which it sends to the node of its host every second.
 struct Announcement
 {
     std::string service;
-    std::uint16_t port = 0;  ///< Of its HTTP server, on the same host.
-    std::uint32_t slots = 0; ///< Calls that it can run at once.
+    std::uint16_t port = 0;  ///< Port of its HTTP server, on the same host.
+    std::uint32_t slots = 0; ///< Number of calls that it can run at once.
     ServingState state = ServingState::Starting;
-    std::uint32_t inFlight = 0;        ///< Calls that it runs now.
-    std::string address = "127.0.0.1"; ///< Of its HTTP server.
+    std::uint32_t inFlight = 0;        ///< Number of calls that it runs now.
+    std::string address = "127.0.0.1"; ///< Address of its HTTP server.
     BackendLife life{};
-    std::uint64_t sequence = 0; ///< Grows with each announcement of one life; 0: not told.
-    Duration coldFor{0};        ///< How much longer it will be slow after its start.
+    /// Increases with each announcement of one process instance; 0 if it was not sent.
+    std::uint64_t sequence = 0;
+    /// Remaining time after its start in which the server is slow.
+    Duration coldFor{0};
 
     auto operator==(const Announcement &) const -> bool = default;
 };
 
-/// Reads the JSON body of `POST /announce`. Throws AnnouncementError.
+/// Parses the JSON body of `POST /announce`. Throws AnnouncementError.
 auto parseAnnouncement(std::string_view json) -> Announcement;
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/BackendAnnouncements.h
+++ b/include/stairspur/membership/BackendAnnouncements.h
@@ -9,57 +9,62 @@
 
 namespace stairspur::membership {
 
-/// The one backend server of this host, as its announcements tell. Silence counts as leaving.
+/// Tracks the one backend server of this host by its announcements. A server that sends none for the timeout counts
+/// as left.
 ///
-/// A server that starts again begins a new life, under a new name or under the same one with a later start. Announcements
-/// of a life that is over come late and are passed over, whatever their sequence. Starts are told by the host's clock, which
-/// may have been set back between two lives: one that seems earlier than the life that is known, but goes on announcing
-/// while that one is silent, is taken for the living one after a third of the timeout.
+/// A server that restarts is a new process instance, with a new name or with the same name and a later start time.
+/// Late announcements of an ended process instance are ignored, whatever their sequence number. Start times are read
+/// from the host's clock, which may be set back between two process instances. An instance with an earlier start time
+/// than the current one is therefore accepted if it announces itself for a third of the timeout while the current one
+/// sends nothing.
 class BackendAnnouncements
 {
 public:
-    /// `timeout`: silence after which the backend server counts as left.
+    /// `timeout` is the time without announcements after which the backend server counts as left.
     explicit BackendAnnouncements(Duration timeout)
         : m_timeout(timeout)
     {}
 
-    /// Takes an announcement in; tells whether the own record changes by it (life, service, slots or state). Throws
-    /// AnnouncementError when another backend server without a name is there already; a named one takes the place of the
-    /// one before it. What comes late is passed over.
+    /// Applies an announcement. Returns whether it changes the own record (process instance, service, slots or
+    /// state). Throws AnnouncementError if another backend server without a name is present; a named server replaces
+    /// its predecessor. Late announcements are ignored.
     auto take(const Announcement &announcement, TimePoint now) -> bool;
 
-    /// A life has ended for good; announcements of it that come late are passed over. Without the time of its start it is the
-    /// life that is known by that name. Tells whether the own record changes by it.
+    /// Records that a process instance has ended; its late announcements are ignored from then on. Without a start
+    /// time, `life` refers to the latest process instance of that name. Returns whether this changes the own record.
     auto leave(const BackendLife &life, TimePoint now) -> bool;
 
-    /// Notices silence; tells whether the own record changes by it.
+    /// Marks the backend server as left when its announcements have ceased. Returns whether this changes the own
+    /// record.
     auto tick(TimePoint now) -> bool;
 
-    /// The node drains: from now on a backend server is shown as draining at best. Tells whether that is a change.
+    /// Records that the node drains: a backend server that starts or serves is shown as draining from then on.
+    /// Returns whether this changes the own record.
     auto drain() -> bool;
 
-    /// The last announcement with the state that counts; nothing before the first.
+    /// Returns the latest announcement with its effective state, or nothing before the first announcement.
     [[nodiscard]] auto current() const -> const std::optional<Announcement> & { return m_current; }
 
-    /// Whether a backend server is there and takes new work.
+    /// Returns whether a backend server is present and accepts new calls.
     [[nodiscard]] auto isServing() const -> bool
     {
         return m_current && m_current->state == ServingState::Serving;
     }
 
 private:
-    [[nodiscard]] auto stateThatCounts(ServingState announced) const -> ServingState;
-    /// Whether the life is over, or earlier than one of the same name.
-    [[nodiscard]] auto isPast(const BackendLife &life) const -> bool;
+    [[nodiscard]] auto effectiveState(ServingState announced) const -> ServingState;
+    /// Returns whether the process instance has ended or started before another one of the same name.
+    [[nodiscard]] auto hasEnded(const BackendLife &life) const -> bool;
     [[nodiscard]] auto isOutdated(const Announcement &announcement) const -> bool;
     [[nodiscard]] auto lastLifeOf(const std::string &instance) const -> std::optional<BackendLife>;
-    [[nodiscard]] auto isUnproven(const Announcement &announcement) const -> bool;
+    [[nodiscard]] auto lacksStartTime(const Announcement &announcement) const -> bool;
     auto retire(const BackendLife &life) -> void;
-    /// Whether a life that was taken for past goes on announcing while the one in its place is silent.
-    auto isBack(const Announcement &announcement, TimePoint now) -> bool;
+    /// Returns whether a process instance that counted as ended still announces itself while its successor sends
+    /// nothing.
+    auto isConfirmedReturn(const Announcement &announcement, TimePoint now) -> bool;
 
-    /// A life that was taken for past, and announces again.
-    struct Returning
+    /// A process instance that counted as ended and announces itself again.
+    struct ReturnCandidate
     {
         BackendLife life;
         std::uint64_t sequence = 0;
@@ -68,13 +73,13 @@
 
     Duration m_timeout;
     bool m_isDraining = false;
-    TimePoint m_lastHeard;
+    TimePoint m_lastSeen;
     std::optional<Announcement> m_current;
-    /// Lives that were replaced or have left, the last ones.
+    /// The latest process instances that were replaced or have left.
     std::deque<BackendLife> m_retired;
-    /// Those of them that have left by their own word.
+    /// The latest process instances that have announced that they leave.
     std::deque<BackendLife> m_left;
-    std::optional<Returning> m_returning;
+    std::optional<ReturnCandidate> m_returnCandidate;
 };
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/ContactStatements.h
+++ b/include/stairspur/membership/ContactStatements.h
@@ -11,46 +11,47 @@
 
 namespace stairspur::membership {
 
-/// What the own domain's relays say of their contact with other domains, passed on like updates.
+/// The statements of the own domain's relays about their contact with other domains. They are forwarded like updates.
 class ContactStatements
 {
 public:
-    /// Takes a newer statement in; tells whether it was one.
+    /// Stores `statement` if it is newer than the stored one. Returns whether it was stored.
     auto merge(const ContactStatement &statement) -> bool
     {
         static constexpr auto MaxStatements = std::size_t{256};
         const auto key = Key{statement.domain, statement.relay};
-        const auto it = m_held.find(key);
-        if (it == m_held.end() && m_held.size() >= MaxStatements)
+        const auto it = m_entries.find(key);
+        if (it == m_entries.end() && m_entries.size() >= MaxStatements)
             return false;
-        if (it != m_held.end() && it->second.statement.version >= statement.version)
+        if (it != m_entries.end() && it->second.statement.version >= statement.version)
             return false;
-        m_held[key] = {statement, 0, false};
+        m_entries[key] = {statement, 0, false};
         return true;
     }
 
-    /// Statements for one message; each is taken `sendLimit` times.
+    /// Returns at most `max` statements for one message. Each statement is returned `sendLimit` times in total.
     auto take(std::size_t max, std::uint32_t sendLimit) -> std::vector<ContactStatement>
     {
         auto chosen = std::vector<ContactStatement>();
-        for (auto &[key, held] : m_held) {
-            if (held.isSpread || chosen.size() >= max)
+        for (auto &[key, entry] : m_entries) {
+            if (entry.isFullySent || chosen.size() >= max)
                 continue;
-            chosen.push_back(held.statement);
-            held.isSpread = ++held.sends >= sendLimit;
+            chosen.push_back(entry.statement);
+            entry.isFullySent = ++entry.sendCount >= sendLimit;
         }
         return chosen;
     }
 
-    /// What `relay` last said of `domain`; null when it said nothing.
+    /// Returns the latest statement of `relay` about `domain`, or null if there is none.
     [[nodiscard]] auto find(const std::string &domain, const NodeId &relay) const
             -> const ContactStatement *
     {
-        const auto it = m_held.find(Key{domain, relay});
-        return it == m_held.end() ? nullptr : &it->second.statement;
+        const auto it = m_entries.find(Key{domain, relay});
+        return it == m_entries.end() ? nullptr : &it->second.statement;
     }
 
-    /// Whether some relay has not lost its contact. A relay that has said nothing has not.
+    /// Returns whether at least one relay has contact with `domain`. A relay without a statement counts as having
+    /// contact.
     [[nodiscard]] auto isReachable(const std::string &domain,
                                    const std::vector<NodeId> &relays) const -> bool
     {
@@ -61,24 +62,24 @@
         return relays.empty() || std::any_of(relays.begin(), relays.end(), hasContact);
     }
 
-    /// Drops what nodes said that are no relays any more.
+    /// Removes the statements of nodes that are no longer relays.
     auto keepOnly(const std::vector<NodeId> &relays) -> void
     {
-        std::erase_if(m_held, [&](const auto &it) {
+        std::erase_if(m_entries, [&](const auto &it) {
             return std::find(relays.begin(), relays.end(), it.first.second) == relays.end();
         });
     }
 
 private:
     using Key = std::pair<std::string, NodeId>;
-    struct Held
+    struct Entry
     {
         ContactStatement statement;
-        std::uint32_t sends = 0;
-        bool isSpread = false;
+        std::uint32_t sendCount = 0;
+        bool isFullySent = false;
     };
 
-    std::map<Key, Held> m_held;
+    std::map<Key, Entry> m_entries;
 };
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/DigestExchange.h
+++ b/include/stairspur/membership/DigestExchange.h
@@ -10,9 +10,10 @@
 
 namespace stairspur::membership {
 
-/// Repairs what gossip lost: now and then a node sends a digest of one domain's records to a random peer, and both send
-/// each other the records of the buckets that differ (anti-entropy, Demers et al., PODC 1987). A domain that differed
-/// is compared again in the next period, so that a joiner or a healed partition catches up soon.
+/// Repairs records that gossip lost. A node periodically sends a digest of one domain's records to a random peer, and
+/// the two send each other the records of the buckets that differ (anti-entropy, Demers et al., PODC 1987). A domain
+/// that differed is compared again in the next period, so that a joining node or a healed partition catches up
+/// quickly.
 template <MembershipPolicy Policy>
 class DigestExchange
 {
@@ -23,12 +24,12 @@
         , m_allowance(maxAllowance())
     {}
 
-    /// Has `domain` compared in the next period, with `peer` or, when it is empty, with a random one.
+    /// Schedules a comparison of `domain` for the next period, with `peer` or, if it is empty, with a random peer.
     auto hurry(const std::string &domain, const NodeId &peer = {}) -> void
     {
-        const auto isSame = [&](const Hurried &it) { return it.domain == domain; };
-        if (std::none_of(m_hurried.begin(), m_hurried.end(), isSame))
-            m_hurried.push_back({domain, peer});
+        const auto isSame = [&](const ScheduledExchange &it) { return it.domain == domain; };
+        if (std::none_of(m_scheduled.begin(), m_scheduled.end(), isSame))
+            m_scheduled.push_back({domain, peer});
     }
 
     auto beginPeriod() -> void
@@ -36,13 +37,13 @@
         m_allowance = std::min(m_allowance + 1, maxAllowance());
         if (!Policy::exchangesDigests)
             return;
-        noteNewDomains();
+        scheduleNewDomains();
         const auto peers = m_core.randomPeers(1);
         if (peers.empty())
             return;
-        if (!m_hurried.empty()) {
-            const auto next = m_hurried.front();
-            m_hurried.erase(m_hurried.begin());
+        if (!m_scheduled.empty()) {
+            const auto next = m_scheduled.front();
+            m_scheduled.erase(m_scheduled.begin());
             sendDigest(next.peer.empty() ? peers.front() : next.peer, next.domain, nullptr);
             return;
         }
@@ -52,7 +53,7 @@
         sendDigest(peers.front(), pickDomain(), nullptr);
     }
 
-    /// Asks `to` for the records of `domain` that differ from the own ones.
+    /// Requests from `to` the records of `domain` that differ from the own ones.
     auto sendDigest(const NodeId &to, const std::string &domain, const ServiceFilter *filter)
             -> void
     {
@@ -66,7 +67,7 @@
         m_core.sendPlain(to, std::move(message));
     }
 
-    /// Answers with the records in the buckets that differ, in random order and as many as the allowance has room for.
+    /// Replies with the records of the buckets that differ, in random order and as many as the allowance permits.
     auto didReceiveDigest(const NodeId &from, const Message &digest) -> void
     {
         const auto filter = digest.filter.empty() ? ServiceFilter() : ServiceFilter(digest.filter);
@@ -88,7 +89,7 @@
         sendBuckets(from, answer, differing, usedFilter);
     }
 
-    /// Takes the other's records in. Within the domain the own records of those buckets go back.
+    /// Applies the records of `from`. Within a domain, the own records of the same buckets are sent back.
     auto didReceiveRecords(const NodeId &from, const Message &records) -> void
     {
         for (const auto &it : records.updates)
@@ -108,7 +109,7 @@
     }
 
 private:
-    struct Hurried
+    struct ScheduledExchange
     {
         std::string domain;
         NodeId peer;
@@ -119,26 +120,28 @@
         return 2 * m_core.settings().exchangeDatagrams;
     }
 
-    /// A domain that this node just heard of is fetched from a peer.
-    auto noteNewDomains() -> void
+    /// Schedules a comparison for each domain that is new to this node.
+    auto scheduleNewDomains() -> void
     {
         for (const auto &it : m_core.table().domains()) {
-            if (std::find(m_knownDomains.begin(), m_knownDomains.end(), it) != m_knownDomains.end())
+            if (std::find(m_recordedDomains.begin(), m_recordedDomains.end(), it)
+                != m_recordedDomains.end())
                 continue;
-            m_knownDomains.push_back(it);
+            m_recordedDomains.push_back(it);
             hurry(it);
         }
     }
 
-    /// The own domain every other time, one of the others in between.
+    /// Returns the own domain in half of the calls and one of the recorded domains in the others.
     auto pickDomain() -> std::string
     {
-        if (m_knownDomains.empty() || randomBelow(m_core.random(), 2) == 0)
+        if (m_recordedDomains.empty() || randomBelow(m_core.random(), 2) == 0)
             return m_core.self().domain;
-        return m_knownDomains[randomBelow(m_core.random(), m_knownDomains.size())];
+        return m_recordedDomains[randomBelow(m_core.random(), m_recordedDomains.size())];
     }
 
-    /// The records in scope, by bucket; those of members that are gone included, since that is news to the other.
+    /// Returns the records in scope, by bucket. Records of absent members are included, since the receiver may lack
+    /// them.
     auto recordsByBucket(const std::string &domain, const ServiceFilter *filter) const
             -> std::vector<std::vector<const Member *>>
     {
@@ -150,7 +153,7 @@
         return sorted;
     }
 
-    /// An answer without buckets says that nothing differs.
+    /// Sends the records of `buckets`. A reply without buckets means that nothing differs.
     auto sendBuckets(const NodeId &to, const Message &answer,
                      const std::vector<std::size_t> &buckets, const ServiceFilter *filter) -> void
     {
@@ -171,13 +174,13 @@
         }
     }
 
-    /// Puts whole buckets into one datagram from `next` on; the place of the first that is not in it. A bucket that no
-    /// datagram has room for is cut short.
+    /// Puts whole buckets into one datagram, from `next` on. Returns the index of the first bucket that is not in it.
+    /// A bucket that is too large for a datagram is truncated.
     auto fill(Message &datagram, const std::vector<std::vector<const Member *>> &sorted,
               const std::vector<std::size_t> &buckets, std::size_t next) -> std::size_t
     {
         static constexpr auto FixedBytes =
-                std::size_t{250}; // The sender's record, contacts and bucket numbers.
+                std::size_t{250}; // For the sender's record, contacts and bucket numbers.
         auto budget = RecordBudget(m_core.settings().maxPayloadBytes - FixedBytes);
         const auto first = next;
         for (; next < buckets.size(); ++next) {
@@ -201,11 +204,11 @@
 
     MembershipCore<Policy> &m_core;
     std::uint64_t m_periodsToNext;
-    /// Datagrams with records that this node may still send; grows by one a period.
+    /// Number of datagrams with records that this node may still send; increases by one in each period.
     std::uint32_t m_allowance;
     std::uint32_t m_sequence = 0;
-    std::vector<Hurried> m_hurried;
-    std::vector<std::string> m_knownDomains;
+    std::vector<ScheduledExchange> m_scheduled;
+    std::vector<std::string> m_recordedDomains;
 };
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/FailureDetector.h
+++ b/include/stairspur/membership/FailureDetector.h
@@ -9,9 +9,9 @@
 
 namespace stairspur::membership {
 
-/// Probes one member of the own domain in each protocol period: directly, then through others; then suspects it, and
-/// declares it dead when it does not refute (SWIM, Das et al., DSN 2002). A node whose own probes fail waits longer
-/// before it blames others (Lifeguard, Dadgar et al., DSN-W 2018).
+/// Probes one member of the own domain in each protocol period: first directly, then through other members. A member
+/// that fails both is suspected, and declared dead if it does not refute the suspicion (SWIM, Das et al., DSN 2002).
+/// A node whose own probes fail waits longer before it suspects others (Lifeguard, Dadgar et al., DSN-W 2018).
 template <MembershipPolicy Policy>
 class FailureDetector
 {
@@ -20,22 +20,22 @@
         : m_core(core)
     {}
 
-    /// Ends the last probe when its time is up, and begins the next.
+    /// Ends the previous probe when its time is over, and starts the next one.
     auto beginPeriod() -> void
     {
         if (m_probe && m_core.now() < m_probe->end)
             return;
         if (m_probe)
-            concludeFailed();
-        expireRelayed();
-        remindAccused();
+            handleFailedProbe();
+        expireForwarded();
+        probeOwnSuspects();
         takeDoubted();
         if (const auto target = nextTarget())
             probe(*target);
-        tellDoubted();
+        probeDisputed();
     }
 
-    /// What is due between the beginnings of periods.
+    /// Runs the work that is due between the starts of two periods.
     auto tick() -> void
     {
         if (m_probe && !m_probe->isIndirect && m_core.now() >= m_probe->directEnd)
@@ -44,14 +44,15 @@
             declareDead(it);
     }
 
-    /// This process did not run for `gap`: answers may have been missed that had come in time.
+    /// Records that this process did not run for `gap`. Answers that arrived in time may have been missed, so the
+    /// current probe is dropped and suspicions are extended.
     auto didPause(Duration gap) -> void
     {
         m_probe.reset();
         m_core.timers().extend(gap);
     }
 
-    /// `contacts` go with the answer to a stranger that looks for nodes of its own domain.
+    /// Answers a probe. `contacts` are added to the answer to an unknown node that looks for nodes of its own domain.
     auto didReceivePing(const NodeId &from, const Message &message, std::vector<NodeId> contacts)
             -> void
     {
@@ -62,24 +63,24 @@
         m_core.send(from, std::move(ack));
     }
 
-    /// Passes a probe on; its answer goes back to the asker.
+    /// Forwards a probe; its answer is sent back to the requester.
     auto didReceivePingRequest(const NodeId &from, const Message &message) -> void
     {
-        static constexpr auto MaxRelayed = std::size_t{64};
-        if (m_relayed.size() >= MaxRelayed)
+        static constexpr auto MaxForwarded = std::size_t{64};
+        if (m_forwarded.size() >= MaxForwarded)
             return;
         const auto sequence = ++m_sequence;
         const auto expiry = m_core.now() + m_core.settings().period;
-        m_relayed[sequence] = {from, message.target, message.sequence, expiry};
+        m_forwarded[sequence] = {from, message.target, message.sequence, expiry};
         sendPing(message.target, sequence);
     }
 
     auto didReceiveAck(const NodeId &from, const Message &message) -> void
     {
-        if (const auto it = m_relayed.find(message.sequence); it != m_relayed.end()) {
+        if (const auto it = m_forwarded.find(message.sequence); it != m_forwarded.end()) {
             if (it->second.target == from)
-                passAckOn(it->second);
-            m_relayed.erase(it);
+                forwardAck(it->second);
+            m_forwarded.erase(it);
             return;
         }
         const auto &subject = message.target.empty() ? from : message.target;
@@ -91,7 +92,7 @@
         m_penalty = m_penalty == 0 ? 0 : m_penalty - 1;
     }
 
-    /// A message that asks `to` to show that it lives, without a verdict if it does not.
+    /// Sends a probe whose missing answer has no consequence.
     auto sendPing(const NodeId &to) -> void { sendPing(to, 0); }
 
     [[nodiscard]] auto penalty() const -> std::uint32_t { return m_penalty; }
@@ -106,20 +107,20 @@
         bool isIndirect = false;
     };
 
-    struct Relayed
+    struct ForwardedProbe
     {
-        NodeId asker;
+        NodeId requester;
         NodeId target;
-        std::uint32_t askerSequence = 0;
+        std::uint32_t requesterSequence = 0;
         TimePoint expiry;
     };
 
-    /// Goes through the members in random order, each once a round, so that no failure stays unseen for longer than a
-    /// round (SWIM, section 4.3).
+    /// Returns the next member to probe. Members are probed in random order, each once in a round, so that a failure
+    /// is detected within one round (SWIM, section 4.3).
     auto nextTarget() -> std::optional<NodeId>
     {
-        if (!m_doubted.empty())
-            return m_doubted.begin()->first;
+        if (!m_disputed.empty())
+            return m_disputed.begin()->first;
         while (!m_round.empty()) {
             const auto target = m_round.back();
             m_round.pop_back();
@@ -140,7 +141,7 @@
     {
         const auto &settings = m_core.settings();
         const auto scale = 1 + m_penalty;
-        // Ends a little early, so that the period that begins then sees the verdict.
+        // The probe ends slightly before the next period, so that this period sees its result.
         const auto slack = settings.period / 10;
         m_probe = Probe{target, ++m_sequence, m_core.now() + settings.probeTimeout * scale,
                         m_core.now() + settings.period * scale - slack, false};
@@ -148,22 +149,23 @@
         sendPing(target, m_probe->sequence);
     }
 
-    /// Members that others gave up and this node did not are probed first.
+    /// Schedules probes of the members that other nodes declared dead and this node did not; they are probed first.
     auto takeDoubted() -> void
     {
-        static constexpr auto MaxDoubted = std::size_t{64};
+        static constexpr auto MaxDisputed = std::size_t{64};
         for (auto &it : m_core.takeDoubted()) {
-            if (m_doubted.size() < MaxDoubted)
-                m_doubted.insert_or_assign(it.node, it);
+            if (m_disputed.size() < MaxDisputed)
+                m_disputed.insert_or_assign(it.node, it);
         }
     }
 
-    /// More of them hear of it without a verdict of this node.
-    auto tellDoubted() -> void
+    /// Sends a few more of them the claim, without drawing conclusions from a missing answer.
+    auto probeDisputed() -> void
     {
-        static constexpr auto ToldAtOnce = 3;
-        for (auto count = 0; count < ToldAtOnce && !m_doubted.empty(); ++count) {
-            const auto node = m_doubted.begin()->first; // The entry goes with the ping.
+        static constexpr auto MaxProbes = 3;
+        for (auto count = 0; count < MaxProbes && !m_disputed.empty(); ++count) {
+            // The id is copied because sendPing() removes the entry.
+            const auto node = m_disputed.begin()->first;
             sendPing(node, 0);
         }
     }
@@ -171,8 +173,8 @@
     auto sendPing(const NodeId &to, std::uint32_t sequence) -> void
     {
         auto ping = Message();
-        if (const auto doubted = m_doubted.extract(to))
-            ping.updates.push_back(doubted.mapped());
+        if (const auto disputed = m_disputed.extract(to))
+            ping.updates.push_back(disputed.mapped());
         ping.kind = MessageKind::Ping;
         ping.sequence = sequence;
         m_core.send(to, std::move(ping));
@@ -194,16 +196,16 @@
         }
     }
 
-    auto passAckOn(const Relayed &relayed) -> void
+    auto forwardAck(const ForwardedProbe &forwarded) -> void
     {
         auto ack = Message();
         ack.kind = MessageKind::Ack;
-        ack.sequence = relayed.askerSequence;
-        ack.target = relayed.target;
-        m_core.send(relayed.asker, std::move(ack));
+        ack.sequence = forwarded.requesterSequence;
+        ack.target = forwarded.target;
+        m_core.send(forwarded.requester, std::move(ack));
     }
 
-    auto concludeFailed() -> void
+    auto handleFailedProbe() -> void
     {
         const auto target = m_probe->target;
         m_probe.reset();
@@ -219,7 +221,7 @@
         auto claim = *member;
         claim.liveness = Liveness::Suspect;
         ++m_core.counters().suspicions;
-        m_accused.push_back(target);
+        m_ownSuspects.push_back(target);
         m_core.applyOwn(std::move(claim));
     }
 
@@ -234,28 +236,31 @@
         m_core.applyOwn(std::move(claim));
     }
 
-    /// Tells those whom this node suspected, until they refute or are dead: the first message may have been lost.
-    auto remindAccused() -> void
+    /// Sends probes to the members that this node suspected, until they refute or are dead, since the first message
+    /// may have been lost.
+    auto probeOwnSuspects() -> void
     {
-        std::erase_if(m_accused, [&](const NodeId &it) {
+        std::erase_if(m_ownSuspects, [&](const NodeId &it) {
             const auto *member = m_core.table().find(it);
             return member == nullptr || member->liveness != Liveness::Suspect;
         });
-        for (const auto &it : m_accused)
+        for (const auto &it : m_ownSuspects)
             sendPing(it);
     }
 
-    auto expireRelayed() -> void
+    auto expireForwarded() -> void
     {
-        std::erase_if(m_relayed, [&](const auto &it) { return it.second.expiry <= m_core.now(); });
+        std::erase_if(m_forwarded,
+                      [&](const auto &it) { return it.second.expiry <= m_core.now(); });
     }
 
     MembershipCore<Policy> &m_core;
     std::vector<NodeId> m_round;
     std::optional<Probe> m_probe;
-    std::map<std::uint32_t, Relayed> m_relayed;
-    std::vector<NodeId> m_accused;
-    std::map<NodeId, Member> m_doubted; ///< The claims that this node does not believe.
+    std::map<std::uint32_t, ForwardedProbe> m_forwarded;
+    std::vector<NodeId> m_ownSuspects;
+    /// Claims of other nodes that a member is dead, which this node has not confirmed.
+    std::map<NodeId, Member> m_disputed;
     std::uint32_t m_sequence = 0;
     std::uint32_t m_penalty = 0;
 };
--- a/include/stairspur/membership/Member.h
+++ b/include/stairspur/membership/Member.h
@@ -9,7 +9,7 @@
 
 namespace stairspur::membership {
 
-/// What a backend server says of itself, through its host's node.
+/// The state of a backend server, as published by the node of its host.
 enum class ServingState {
     Starting,
     Serving,
@@ -17,21 +17,21 @@
     Left,
 };
 
-/// What other nodes believe of a node (SWIM, Das et al., DSN 2002).
+/// The state of a node as its peers see it (SWIM, Das et al., DSN 2002).
 enum class Liveness {
     Alive,
     Suspect,
     Dead,
 };
 
-/// One node and the backend server behind it.
+/// One node and the backend server of its host.
 struct Member
 {
     NodeId node;
-    std::string service; ///< Empty: no backend server has announced itself yet.
+    std::string service; ///< Empty until a backend server has announced itself.
     std::string domain;
     Incarnation incarnation = 0;
-    /// The incarnation with which its process started: changes by a restart only.
+    /// The incarnation with which the node's process started. It changes only when the node restarts.
     Incarnation start = 0;
     ServingState state = ServingState::Starting;
     std::uint32_t slots = 0;
@@ -40,7 +40,7 @@
     auto operator==(const Member &) const -> bool = default;
 };
 
-/// All members that this node knows, in the order of their ids. Immutable once published.
+/// All members in the table of this node, sorted by id. Immutable once published.
 struct MembershipView
 {
     std::vector<Member> members;
--- a/include/stairspur/membership/MemberDigest.h
+++ b/include/stairspur/membership/MemberDigest.h
@@ -9,8 +9,9 @@
 #include <stairspur/membership/Message.h>
 #include <stairspur/membership/ServiceFilter.h>
 
-/// Digests of the records of one failure domain: 64 buckets of two bytes each. Two nodes with the same records have the
-/// same digest. The salt is another one for each exchange, so that two buckets whose hashes collide differ the next time.
+/// Digests of the records of one failure domain: 64 buckets of two bytes each. Two nodes with the same records
+/// compute the same digest. Each exchange uses a different salt, so that two buckets whose hashes collide differ in
+/// the next exchange.
 namespace stairspur::membership {
 
 inline auto bucketOf(const NodeId &node) -> std::size_t
@@ -18,7 +19,7 @@
     return hash64(node) % DigestBuckets;
 }
 
-/// Whether `member` belongs to the records of `domain` that pass `filter` (null: all do).
+/// Returns whether `member` belongs to `domain` and passes `filter`; a null filter lets every member pass.
 inline auto isInScope(const Member &member, const std::string &domain, const ServiceFilter *filter)
         -> bool
 {
@@ -31,7 +32,7 @@
 {
     auto hashes = std::array<std::uint16_t, DigestBuckets>{};
     for (const auto &[node, entry] : table.entries()) {
-        // Those that are gone are forgotten at different times, so they don't count.
+        // Nodes remove absent members at different times, so those are left out.
         if (!isPresent(entry.member) || !isInScope(entry.member, domain, filter))
             continue;
         const auto hash = hash64(node, entry.member.incarnation ^ hash64("digest", salt));
@@ -45,7 +46,7 @@
     return bytes;
 }
 
-/// Whether the bucket has the same hash in both digests.
+/// Returns whether the bucket has the same hash in both digests.
 inline auto isSameBucket(const std::string &a, const std::string &b, std::size_t bucket) -> bool
 {
     return a.compare(bucket * 2, 2, b, bucket * 2, 2) == 0;
--- a/include/stairspur/membership/MemberTable.h
+++ b/include/stairspur/membership/MemberTable.h
@@ -16,14 +16,14 @@
 
 namespace stairspur::membership {
 
-/// Whether the node takes part in the protocol, as far as is known. One that leaves says itself that it is dead; one
-/// whose backend server alone has left stays.
+/// Returns whether the node takes part in the protocol according to its record. A node that leaves publishes itself
+/// as dead; a node of which only the backend server has left is still present.
 inline auto isPresent(const Member &member) -> bool
 {
     return member.liveness != Liveness::Dead;
 }
 
-/// Every record that this node holds, and the rules by which a claim replaces a record (SWIM, section 4.2).
+/// The records of all members, and the rules by which a claim replaces a record (SWIM, section 4.2).
 template <MembershipPolicy Policy>
 class MemberTable
 {
@@ -50,23 +50,24 @@
         return it == m_entries.end() ? nullptr : &it->second.member;
     }
 
-    /// Takes the claim in if it supersedes what is known. The event that this makes, or nothing for old news.
+    /// Applies `claim` if it supersedes the current record. Returns the resulting event, or nothing if it does not
+    /// supersede.
     auto merge(const Member &claim, TimePoint now) -> std::optional<MembershipEventKind>
     {
         const auto it = m_entries.find(claim.node);
         if (it == m_entries.end())
             return add(claim, now);
-        auto &known = it->second.member;
-        if (!supersedes(claim, known))
+        auto &current = it->second.member;
+        if (!supersedes(claim, current))
             return std::nullopt;
-        const auto event = eventOf(known, claim);
-        known = claim;
+        const auto event = eventOf(current, claim);
+        current = claim;
         it->second.changedAt = now;
         didChange();
         return event;
     }
 
-    /// Replaces the own record, which needs no rule.
+    /// Replaces the own record without comparing incarnations.
     auto setSelf(const Member &self, TimePoint now) -> void
     {
         m_entries.insert_or_assign(self.node, Entry{self, now});
@@ -79,15 +80,15 @@
         didChange();
     }
 
-    /// Members of the own domain that take part, without this node.
+    /// Returns the present members of the own domain, without this node.
     auto peers() -> const std::vector<NodeId> &
     {
         refresh();
         return m_peers;
     }
 
-    /// The members of `domain` that speak for it: the first by rendezvous rank (Thaler and Ravishankar, 1998) of those
-    /// that are alive. Every node of a domain with the same view names the same.
+    /// Returns the relays of `domain`: its first present members by rendezvous rank (Thaler and Ravishankar, 1998).
+    /// Nodes with the same view compute the same relays.
     auto relaysOf(const std::string &domain) -> const std::vector<NodeId> &
     {
         static const auto none = std::vector<NodeId>();
@@ -96,7 +97,7 @@
         return it == m_relays.end() ? none : it->second;
     }
 
-    /// All domains with members that take part.
+    /// Returns all domains with present members.
     auto domains() -> std::vector<std::string>
     {
         refresh();
@@ -107,36 +108,37 @@
     }
 
 private:
-    static auto supersedes(const Member &claim, const Member &known) -> bool
+    static auto supersedes(const Member &claim, const Member &current) -> bool
     {
         if constexpr (!Policy::comparesIncarnations)
-            return !(claim == known);
-        if (claim.incarnation != known.incarnation)
-            return claim.incarnation > known.incarnation;
-        return claim.liveness > known.liveness;
+            return !(claim == current);
+        if (claim.incarnation != current.incarnation)
+            return claim.incarnation > current.incarnation;
+        return claim.liveness > current.liveness;
     }
 
-    static auto eventOf(const Member &known, const Member &claim) -> MembershipEventKind
+    static auto eventOf(const Member &current, const Member &claim) -> MembershipEventKind
     {
         if (claim.liveness == Liveness::Dead)
             return claim.state == ServingState::Left ? MembershipEventKind::Left
                                                      : MembershipEventKind::Dead;
         if (claim.liveness == Liveness::Suspect)
             return MembershipEventKind::Suspect;
-        if (claim.start > known.start)
+        if (claim.start > current.start)
             return MembershipEventKind::Restart;
-        if (!isPresent(known))
+        if (!isPresent(current))
             return MembershipEventKind::Join;
-        if (claim.state == ServingState::Draining && known.state != ServingState::Draining)
+        if (claim.state == ServingState::Draining && current.state != ServingState::Draining)
             return MembershipEventKind::Draining;
-        if (claim.state == ServingState::Left && known.state != ServingState::Left)
+        if (claim.state == ServingState::Left && current.state != ServingState::Left)
             return MembershipEventKind::Left;
-        const auto isSame = claim.state == known.state && claim.service == known.service
-                            && claim.slots == known.slots;
+        const auto isSame = claim.state == current.state && claim.service == current.service
+                            && claim.slots == current.slots;
         return isSame ? MembershipEventKind::Alive : MembershipEventKind::State;
     }
 
-    /// A dead or left member that was never known concerns nobody here.
+    /// Adds a record for an unknown member. Absent members are not added, since no record of theirs has to be
+    /// replaced.
     auto add(const Member &claim, TimePoint now) -> std::optional<MembershipEventKind>
     {
         if (!isPresent(claim) || m_entries.size() >= m_maxMembers)
--- a/include/stairspur/membership/MembershipCore.h
+++ b/include/stairspur/membership/MembershipCore.h
@@ -21,14 +21,14 @@
 
 namespace stairspur::membership {
 
-/// A message that the runtime has to send.
+/// A datagram to be sent by the runtime.
 struct OutgoingDatagram
 {
     NodeId to;
     std::string payload;
 };
 
-/// What the parts of the protocol share: the records, the updates that wait to be passed on, and the way out.
+/// State shared by the parts of the protocol: records, queued updates, and outgoing datagrams and events.
 template <MembershipPolicy Policy>
 class MembershipCore
 {
@@ -63,7 +63,7 @@
     auto setNow(TimePoint now) -> void { m_now = now; }
     [[nodiscard]] auto filter() const -> const ServiceFilter & { return m_filter; }
 
-    /// Sets the services of interest and drops other domains' records of the rest.
+    /// Sets the services of interest and removes the records of other domains that do not match them.
     auto setFilter(ServiceFilter filter) -> void
     {
         m_filter = std::move(filter);
@@ -73,13 +73,13 @@
                 unwanted.push_back(node);
         }
         for (const auto &it : unwanted)
-            forget(it);
+            remove(it);
     }
 
     auto setAnnotation(std::string annotation) -> void { m_annotation = std::move(annotation); }
     auto takeDatagrams() -> std::vector<OutgoingDatagram> { return std::exchange(m_out, {}); }
     auto takeEvents() -> std::vector<MembershipEvent> { return std::exchange(m_events, {}); }
-    /// Updates that still wait to be passed on.
+    /// Returns the number of updates that are queued for sending.
     [[nodiscard]] auto waitingUpdates() const -> std::size_t
     {
         return m_ownUpdates.size() + m_foreignUpdates.size();
@@ -97,7 +97,7 @@
         m_events.push_back(std::move(event));
     }
 
-    /// Changes what this node says of itself. Each change is a new incarnation, so that it supersedes the last.
+    /// Changes the own record. Each change increases the incarnation, so that it supersedes the previous record.
     auto changeSelf(const std::string &service, std::uint32_t slots, ServingState state) -> void
     {
         if (hasLeft()
@@ -108,10 +108,10 @@
         m_self.state = state;
         ++m_self.incarnation;
         didChangeSelf();
-        noteUrgency(m_self);
+        queueIfUrgent(m_self);
     }
 
-    /// The last thing that this node says of itself.
+    /// Publishes that this node leaves. This is the last change of its own record.
     auto leave() -> void
     {
         if (hasLeft())
@@ -120,57 +120,60 @@
         m_self.liveness = Liveness::Dead;
         ++m_self.incarnation;
         didChangeSelf();
-        noteUrgency(m_self);
+        queueIfUrgent(m_self);
     }
 
-    /// Takes a claim of another node in and passes it on if it is news. Claims about this node are refuted.
+    /// Applies a claim of another node and queues it for forwarding if it changes a record. Claims about this node
+    /// are refuted.
     ///
-    /// Another's verdict that a member of the own domain is dead is not taken over: a node or half of a domain that was
-    /// cut off comes back with verdicts on everyone else. The member is probed and told instead; see takeDoubted().
+    /// A claim by another node that a member of the own domain is dead is not applied: a node or half of a domain
+    /// that was cut off returns with such claims about all other members. The member is probed and sent the claim
+    /// instead; see takeDoubted().
     auto apply(const Member &claim) -> void
     {
-        // A node that left said so itself; any other death is the verdict of others.
-        const auto isVerdict =
+        // A node that leaves publishes its own record as dead; every other death is claimed by other nodes.
+        const auto isDeathClaim =
                 claim.liveness == Liveness::Dead && claim.state != ServingState::Left;
-        const auto isOwn = claim.domain == m_self.domain && claim.node != m_self.node;
-        if (Policy::doubtsVerdicts && isVerdict && isOwn)
-            doubt(claim);
+        const auto isOwnDomain = claim.domain == m_self.domain && claim.node != m_self.node;
+        if (Policy::doubtsVerdicts && isDeathClaim && isOwnDomain)
+            addDisputed(claim);
         else
             applyOwn(claim);
     }
 
-    /// Verdicts on members that are alive as far as this node knows.
-    auto takeDoubted() -> std::vector<Member> { return std::exchange(m_doubted, {}); }
+    /// Returns and clears the death claims about members whose current record is alive.
+    auto takeDoubted() -> std::vector<Member> { return std::exchange(m_disputed, {}); }
 
-    /// Takes in what this node itself has concluded.
+    /// Applies a conclusion of this node itself.
     auto applyOwn(Member claim) -> void
     {
         if (claim.node == m_self.node) {
             refute(claim);
             return;
         }
-        const auto isOwn = claim.domain == m_self.domain;
-        if (!isOwn && !m_filter.mayContain(claim.service))
+        const auto isOwnDomain = claim.domain == m_self.domain;
+        if (!isOwnDomain && !m_filter.mayContain(claim.service))
             return;
-        auto &queue = isOwn ? m_ownUpdates : m_foreignUpdates;
+        auto &queue = isOwnDomain ? m_ownUpdates : m_foreignUpdates;
         const auto event = m_table.merge(claim, m_now);
         if (!event) {
-            if (const auto *known = m_table.find(claim.node); known != nullptr && *known == claim)
+            if (const auto *current = m_table.find(claim.node);
+                current != nullptr && *current == claim)
                 queue.didHearAgain(claim.node, updateSendLimit());
             return;
         }
         queue.push(claim.node);
-        if (isOwn)
+        if (isOwnDomain)
             updateTimer(claim);
         emit(*event, claim);
         if (*event == MembershipEventKind::Draining || *event == MembershipEventKind::Left)
-            noteUrgency(claim);
+            queueIfUrgent(claim);
     }
 
-    /// Members of the own domain that should be told of at once.
+    /// Returns and clears the members of the own domain whose records are to be sent without delay.
     auto takeUrgent() -> std::vector<Member> { return std::exchange(m_urgent, {}); }
 
-    /// Up to `n` random members of the own domain that take part, without `except`.
+    /// Returns up to `n` random present members of the own domain, without `except`.
     auto randomPeers(std::size_t n, const NodeId &except = {}) -> std::vector<NodeId>
     {
         auto chosen = std::vector<NodeId>();
@@ -187,7 +190,7 @@
         return chosen;
     }
 
-    /// Sends `message` with the own record and as many waiting updates as its share of bytes has room for.
+    /// Sends `message` with the own record and as many queued updates as fit into their byte budgets.
     auto send(const NodeId &to, Message message) -> void
     {
         static constexpr auto OwnUpdateBytes = std::size_t{500};
@@ -209,7 +212,7 @@
         sendPlain(to, std::move(message));
     }
 
-    /// Sends `message` with the own record alone.
+    /// Sends `message` with the own record and without updates.
     auto sendPlain(const NodeId &to, Message message) -> void
     {
         message.self = m_self;
@@ -221,25 +224,25 @@
         m_out.push_back({to, std::move(payload)});
     }
 
-    /// Drops the records of members that are gone for long.
+    /// Removes the records of members that have been absent for longer than their retention time.
     auto forgetOld() -> void
     {
-        auto gone = std::vector<Member>();
+        auto absent = std::vector<Member>();
         for (const auto &[node, entry] : m_table.entries()) {
             if (!isPresent(entry.member) && m_now - entry.changedAt > retentionOf(entry.member))
-                gone.push_back(entry.member);
+                absent.push_back(entry.member);
         }
-        for (auto &it : gone) {
-            forget(it.node);
+        for (auto &it : absent) {
+            remove(it.node);
             emit(MembershipEventKind::Forgotten, std::move(it));
         }
     }
 
-    /// Tells of the own record at once, again.
-    auto repeatSelf() -> void { noteUrgency(m_self); }
+    /// Sends the own record again without delay.
+    auto repeatSelf() -> void { queueIfUrgent(m_self); }
 
 private:
-    auto forget(const NodeId &node) -> void
+    auto remove(const NodeId &node) -> void
     {
         m_table.erase(node);
         m_timers.stop(node);
@@ -264,7 +267,7 @@
                        std::make_move_iterator(more.end()));
     }
 
-    /// A random step that visits every place of a list of `size` once.
+    /// Returns a random stride that visits each index of a list of `size` elements once.
     auto strideFor(std::size_t size) -> std::size_t
     {
         auto stride = 1 + randomBelow(m_random, size);
@@ -273,14 +276,14 @@
         return stride;
     }
 
-    auto doubt(const Member &claim) -> void
+    auto addDisputed(const Member &claim) -> void
     {
-        static constexpr auto MaxDoubted = std::size_t{64};
-        const auto *known = m_table.find(claim.node);
-        const auto isConcerned = known != nullptr && known->liveness == Liveness::Alive
-                                 && claim.incarnation >= known->incarnation;
-        if (isConcerned && m_doubted.size() < MaxDoubted)
-            m_doubted.push_back(claim);
+        static constexpr auto MaxDisputed = std::size_t{64};
+        const auto *current = m_table.find(claim.node);
+        const auto isRelevant = current != nullptr && current->liveness == Liveness::Alive
+                                && claim.incarnation >= current->incarnation;
+        if (isRelevant && m_disputed.size() < MaxDisputed)
+            m_disputed.push_back(claim);
     }
 
     auto updateSendLimit() -> std::uint32_t
@@ -294,7 +297,7 @@
         m_ownUpdates.push(m_self.node);
     }
 
-    auto noteUrgency(const Member &member) -> void
+    auto queueIfUrgent(const Member &member) -> void
     {
         const auto isLeaving =
                 member.state == ServingState::Draining || member.state == ServingState::Left;
@@ -302,7 +305,8 @@
             m_urgent.push_back(member);
     }
 
-    /// Answers a claim that this node fails, or one of a former process of this host whose clock was ahead.
+    /// Refutes a claim that this node has failed, or a claim from an earlier process instance on this host whose
+    /// clock was ahead.
     auto refute(const Member &claim) -> void
     {
         const auto isNewer = claim.incarnation > m_self.incarnation;
@@ -314,7 +318,7 @@
             m_self.start = m_self.incarnation;
         ++m_counters.refutations;
         didChangeSelf();
-        // The suspicion runs out everywhere at about the same time: the refutation must not wait for probes.
+        // The suspicion expires on all nodes at about the same time, so the refutation must not wait for probes.
         m_urgent.push_back(m_self);
         emit(MembershipEventKind::Refuted, m_self);
     }
@@ -349,7 +353,7 @@
     ServiceFilter m_filter;
     std::string m_annotation;
     std::vector<Member> m_urgent;
-    std::vector<Member> m_doubted;
+    std::vector<Member> m_disputed;
     std::vector<OutgoingDatagram> m_out;
     std::vector<MembershipEvent> m_events;
 };
--- a/include/stairspur/membership/MembershipEvent.h
+++ b/include/stairspur/membership/MembershipEvent.h
@@ -7,20 +7,20 @@
 
 namespace stairspur::membership {
 
-/// What changed in the view of one node.
+/// The kinds of changes in the view of one node.
 enum class MembershipEventKind {
-    Join,  ///< A member that was not known, or was dead or left, is alive.
+    Join,  ///< An unknown, dead or left member is alive.
     Alive, ///< A suspicion was refuted.
     Suspect,
     Dead,
     Left,
     Draining,
-    State,       ///< Service, slots or serving state changed otherwise.
-    Restart,     ///< A member has a new process behind it.
-    Forgotten,   ///< A dead or left member's record was dropped.
-    ContactLost, ///< No relay reaches the domain in `domain`.
+    State,       ///< Any other change of service, slots or serving state.
+    Restart,     ///< A member's node has restarted.
+    Forgotten,   ///< The record of a dead or left member was removed.
+    ContactLost, ///< No relay reaches `domain`.
     ContactFound,
-    Annotation, ///< A peer's annotation was heard; see `annotation`.
+    Annotation, ///< A peer's annotation was received; see `annotation`.
     Refuted,    ///< This node was suspected or declared dead and raised its incarnation.
     Paused,     ///< This process did not run for some periods.
 };
@@ -28,9 +28,9 @@
 struct MembershipEvent
 {
     MembershipEventKind kind = MembershipEventKind::Alive;
-    Member member;          ///< For events of a member; `member.node` alone for annotations.
-    std::string domain;     ///< For contact with another domain.
-    std::string annotation; ///< At most MaxAnnotationBytes opaque bytes.
+    Member member;          ///< Set for events of a member; only `member.node` for annotations.
+    std::string domain;     ///< Set for events of contact with another domain.
+    std::string annotation; ///< Opaque, at most MaxAnnotationBytes.
 };
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/MembershipPolicy.h
+++ b/include/stairspur/membership/MembershipPolicy.h
@@ -4,7 +4,7 @@
 
 namespace stairspur::membership {
 
-/// The guards of the protocol. Tests switch one off at a time to show that the fault matrix notices.
+/// The safety rules of the protocol. Tests disable one at a time to show that the fault matrix detects it.
 template <typename Policy>
 concept MembershipPolicy = requires {
     {
@@ -51,28 +51,37 @@
     } -> std::convertible_to<bool>;
 };
 
-/// Every guard on: what nodes run.
+/// The policy of production nodes, with every rule enabled.
 struct StandardPolicy
 {
-    static constexpr auto comparesIncarnations =
-            true;                         ///< An older record never replaces a newer one.
-    static constexpr auto refutes = true; ///< A live node answers its suspicion.
-    static constexpr auto suspectsBeforeDeath = true; ///< A missed probe is not yet a death.
-    static constexpr auto probesIndirectly = true;    ///< One bad path is not a failed node.
-    static constexpr auto matchesSequences = true; ///< An old answer does not answer a new probe.
-    static constexpr auto tellsSuspects = true; ///< Whoever is suspected or given up hears of it.
-    static constexpr auto probesDead =
-            true; ///< Halves that gave each other up find together again.
-    static constexpr auto exchangesDigests = true; ///< Updates that gossip lost are repaired.
-    static constexpr auto doubtsVerdicts = true;   ///< Only the own timer gives a member up.
-    static constexpr auto noticesPauses = true;    ///< Own silence is not the others' failure.
-    static constexpr auto spreadsUrgently = true;  ///< Draining and leaving don't wait for probes.
-    static constexpr auto boundsRetransmission =
-            true; ///< An update leaves the queue after lambda log N sends.
-    static constexpr auto keepsUnreachableDomains =
-            true; ///< A partition is not the death of the other side.
-    static constexpr auto checksStatedDomains =
-            true; ///< Only a domain's own nodes speak for its members.
+    /// An older record never replaces a newer one.
+    static constexpr auto comparesIncarnations = true;
+    /// A live node refutes suspicions about itself.
+    static constexpr auto refutes = true;
+    /// A missed probe leads to a suspicion before a death.
+    static constexpr auto suspectsBeforeDeath = true;
+    /// A member is also probed through others, since a single network path may fail.
+    static constexpr auto probesIndirectly = true;
+    /// An answer is accepted only for the probe that it belongs to.
+    static constexpr auto matchesSequences = true;
+    /// A member that is suspected or declared dead is sent this claim.
+    static constexpr auto tellsSuspects = true;
+    /// Dead members are probed, so that two halves of a partition merge again after it heals.
+    static constexpr auto probesDead = true;
+    /// Digest exchanges repair updates that gossip lost.
+    static constexpr auto exchangesDigests = true;
+    /// A member is declared dead only by this node's own suspicion timer.
+    static constexpr auto doubtsVerdicts = true;
+    /// A pause of this process does not count as a failure of other nodes.
+    static constexpr auto noticesPauses = true;
+    /// Draining and leaving are sent without waiting for probes.
+    static constexpr auto spreadsUrgently = true;
+    /// An update leaves the queue after lambda log N sends.
+    static constexpr auto boundsRetransmission = true;
+    /// Members of an unreachable domain are kept, since a partition does not mean that they are dead.
+    static constexpr auto keepsUnreachableDomains = true;
+    /// Records of a domain's members are accepted only from nodes of that domain.
+    static constexpr auto checksStatedDomains = true;
 };
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/MembershipService.h
+++ b/include/stairspur/membership/MembershipService.h
@@ -16,7 +16,7 @@
 
 namespace stairspur::membership {
 
-/// Runs the membership protocol over datagrams of the topic `swim`. Belongs to the control thread: every call and
+/// Runs the membership protocol over datagrams of the topic `swim`. It belongs to the control thread: every call and
 /// every callback is made on the thread of its io_context.
 class MembershipService
 {
@@ -25,7 +25,7 @@
     using AnnotationCallback =
             std::function<void(const NodeId &from, const std::string &annotation)>;
 
-    /// The channel must outlive the service.
+    /// Creates a stopped service. The channel must outlive it.
     MembershipService(boost::asio::io_context &io, transport::DatagramChannel &channel,
                       MembershipSettings settings, std::uint64_t seed);
     ~MembershipService();
@@ -34,26 +34,27 @@
     auto operator=(const MembershipService &) -> MembershipService & = delete;
     auto operator=(MembershipService &&) -> MembershipService & = delete;
 
-    /// Called with a fresh view when it has changed: at once, but only after a pause while members keep changing; see
-    /// ViewPacer. That a member of the own domain drains or has left goes before.
+    /// Sets the callback for new views. It is called at once after a change, or after a pause while members keep
+    /// changing; see ViewPacer. It is called early when a member of the own domain drains or has left.
     auto setViewCallback(ViewCallback didChange) -> void;
-    /// Called for each annotation that is heard.
-    auto setAnnotationCallback(AnnotationCallback didHear) -> void;
+    /// Sets the callback for received annotations.
+    auto setAnnotationCallback(AnnotationCallback callback) -> void;
 
-    /// Begins to listen and to probe.
+    /// Starts to receive datagrams and to probe.
     auto start() -> void;
-    /// Ends without a word: the others find out. See leave().
+    /// Stops without notifying other nodes, which then detect a failure. See leave().
     auto stop() -> void;
 
-    /// What the local backend server says of itself; see BackendAnnouncements.
+    /// Sets the state of the local backend server; see BackendAnnouncements.
     auto setSelf(const std::string &service, std::uint32_t slots, ServingState state) -> void;
-    /// The services that the nodes of this domain call; the same set on each of them.
+    /// Sets the services that the nodes of this domain call. The set must be the same on each of them.
     auto setServicesOfInterest(const std::set<std::string> &services) -> void;
-    /// Throws InputError above MaxAnnotationBytes.
+    /// Sets the annotation of outgoing probes and answers. Throws InputError above MaxAnnotationBytes.
     auto setAnnotation(const std::string &annotation) -> void;
-    /// Addresses to join through, from the platform's store.
+    /// Adds addresses from the platform's store to join through.
     auto addHints(const std::vector<NodeId> &nodes) -> void;
-    /// Tells the others that this node goes. Keep the service running for three more periods, which repeat it.
+    /// Notifies the other nodes that this node leaves. The service must run for three more periods, in which it
+    /// repeats the notification.
     auto leave() -> void;
 
     [[nodiscard]] auto view() const -> std::shared_ptr<const MembershipView>;
@@ -63,10 +64,10 @@
 private:
     auto scheduleTick() -> void;
     auto didReceive(const NodeId &from, const std::string &payload) -> void;
-    /// Sends and reports what the state has made.
+    /// Sends the datagrams and reports the events of the protocol state.
     auto flush() -> void;
     auto report(const MembershipEvent &event) -> void;
-    auto noteChange(const MembershipEvent &event) -> void;
+    auto recordChange(const MembershipEvent &event) -> void;
     auto publish() -> void;
 
     transport::DatagramChannel &m_channel;
@@ -74,13 +75,14 @@
     ViewPacer m_viewPacer;
     MembershipState m_state;
     transport::Timer m_timer;
-    std::shared_ptr<bool> m_isRunning; ///< Outlives the service in callbacks that are under way.
+    std::shared_ptr<bool>
+            m_isRunning; ///< Shared with pending callbacks, which may outlive the service.
     std::shared_ptr<const MembershipView> m_view;
     ViewCallback m_didChange;
-    AnnotationCallback m_didHear;
+    AnnotationCallback m_didReceiveAnnotation;
 };
 
-/// Milliseconds of the wall clock: the incarnation with which a process starts.
+/// Returns the milliseconds of the wall clock, used as the incarnation with which a process starts.
 auto startIncarnation() -> Incarnation;
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/MembershipState.h
+++ b/include/stairspur/membership/MembershipState.h
@@ -17,8 +17,8 @@
 
 namespace stairspur::membership {
 
-/// The membership protocol of one node, without I/O and clock: time, datagrams and random numbers are handed in, and
-/// datagrams and events are taken out. See docs/design/membership.md.
+/// The membership protocol of one node, without I/O and clock: the caller passes in time, datagrams and random seed,
+/// and takes out datagrams and events. See docs/design/membership.md.
 template <MembershipPolicy Policy>
 class BasicMembershipState
 {
@@ -29,7 +29,7 @@
         , m_exchange(m_core)
         , m_relays(m_core, m_exchange)
         , m_discovery(m_core, m_detector)
-        , m_lastSeen(now)
+        , m_lastAdvance(now)
         , m_nextPeriod(now + phase())
     {}
 
@@ -39,82 +39,83 @@
     auto operator=(BasicMembershipState &&) -> BasicMembershipState & = delete;
     ~BasicMembershipState() = default;
 
-    /// Does what is due at `now`. To be called some ten times in each protocol period.
+    /// Runs the work that is due at `now`. It should be called about ten times in each protocol period.
     auto tick(TimePoint now) -> void
     {
-        advance(now);
+        advanceTo(now);
         if (!m_core.hasLeft())
             m_detector.tick();
         if (now >= m_nextPeriod) {
             m_nextPeriod = std::max(m_nextPeriod, now - currentPeriod() / 2) + currentPeriod();
             beginPeriod();
         }
-        spreadUrgent();
+        sendUrgent();
     }
 
-    /// Takes one datagram in. What is no message is counted and dropped.
+    /// Processes one datagram. Invalid datagrams are counted and dropped.
     auto receive(TimePoint now, const NodeId &from, std::string_view bytes) -> void
     {
-        advance(now);
+        advanceTo(now);
         auto &counters = m_core.counters();
         ++counters.datagramsReceived;
         counters.bytesReceived += bytes.size();
         try {
             if (bytes.size() > m_core.settings().maxPayloadBytes + MaxSurplusBytes)
-                throw MessageError("membership message: it is too large",
+                throw MessageError("membership message: the datagram is too large",
                                    "send datagrams of at most 1400 bytes");
             const auto message = decode(bytes);
             if (message.self.node != from || from == m_core.self().node)
-                throw MessageError("membership message: it names another sender",
-                                   "give every node the address that others reach it by");
-            take(from, message);
+                throw MessageError(
+                        "membership message: its sender is not the sender of the datagram",
+                        "set the address of each node to the one by which others reach it");
+            handle(from, message);
         } catch (const InputError &) {
             ++counters.rejectedDatagrams;
         }
-        spreadUrgent();
+        sendUrgent();
     }
 
-    /// What the local backend server says of itself; without one, the service is empty.
+    /// Sets the state of the local backend server. `service` is empty if there is none.
     auto setSelf(TimePoint now, const std::string &service, std::uint32_t slots, ServingState state)
             -> void
     {
-        advance(now);
+        advanceTo(now);
         m_core.changeSelf(service, slots, state);
-        spreadUrgent();
+        sendUrgent();
     }
 
-    /// The services that this domain's nodes call: the same set on every node of the domain.
+    /// Sets the services that the nodes of this domain call. The set must be the same on every node of the domain.
     auto setServicesOfInterest(const std::set<std::string> &services) -> void
     {
         m_relays.setServicesOfInterest(services);
     }
 
-    /// Opaque bytes that every probe and answer carries. Throws InputError above MaxAnnotationBytes.
+    /// Sets opaque bytes that every probe and answer carries. Throws InputError above MaxAnnotationBytes.
     auto setAnnotation(std::string annotation) -> void
     {
         if (annotation.size() > MaxAnnotationBytes)
             throw InputError("an annotation of " + std::to_string(annotation.size())
                                      + " bytes is too long",
-                             "keep it at 24 bytes");
+                             "use at most 24 bytes");
         m_core.setAnnotation(std::move(annotation));
     }
 
-    /// Addresses that may be nodes, from the platform's store.
+    /// Adds addresses from the platform's store that may be nodes.
     auto addHints(const std::vector<NodeId> &nodes) -> void { m_discovery.addHints(nodes); }
 
-    /// Tells the others that this node goes, at once and in the next three periods. It neither probes nor answers any
-    /// more.
+    /// Notifies the other nodes that this node leaves, at once and in the next three periods. The node neither probes
+    /// nor answers from then on.
     auto leave(TimePoint now) -> void
     {
-        advance(now);
+        advanceTo(now);
         m_core.leave();
-        spreadUrgent();
+        sendUrgent();
     }
 
     auto takeDatagrams() -> std::vector<OutgoingDatagram> { return m_core.takeDatagrams(); }
     auto takeEvents() -> std::vector<MembershipEvent> { return m_core.takeEvents(); }
 
-    /// All records. Members of a domain that no relay reaches are suspect, whatever is known of each.
+    /// Returns all records. Alive members of a domain that no relay reaches are shown as suspect.
     [[nodiscard]] auto view() const -> MembershipView
     {
         auto view = MembershipView();
@@ -151,17 +152,17 @@
         return m_periods < settings.quickPeriods ? settings.period / QuickDivisor : settings.period;
     }
 
-    /// Periods of different nodes begin at different times.
+    /// Returns a random offset, so that the periods of different nodes start at different times.
     auto phase() -> Duration
     {
         const auto period = static_cast<std::uint64_t>(currentPeriod().count());
         return Duration(static_cast<Duration::rep>(randomBelow(m_core.random(), period)));
     }
 
-    auto advance(TimePoint now) -> void
+    auto advanceTo(TimePoint now) -> void
     {
-        const auto gap = std::chrono::duration_cast<Duration>(now - m_lastSeen);
-        m_lastSeen = now;
+        const auto gap = std::chrono::duration_cast<Duration>(now - m_lastAdvance);
+        m_lastAdvance = now;
         m_core.setNow(now);
         if (gap < m_core.settings().period * PausePeriods)
             return;
@@ -178,10 +179,10 @@
     auto beginPeriod() -> void
     {
         static constexpr auto PeriodsToForget = 16;
-        m_urgentLeft = m_core.settings().urgentPerPeriod;
+        m_remainingUrgent = m_core.settings().urgentPerPeriod;
         if (m_core.hasLeft()) {
-            if (m_farewells > 0) {
-                --m_farewells;
+            if (m_leaveRepetitions > 0) {
+                --m_leaveRepetitions;
                 m_core.repeatSelf();
             }
             return;
@@ -194,31 +195,31 @@
         m_discovery.beginPeriod();
     }
 
-    auto take(const NodeId &from, const Message &message) -> void
+    auto handle(const NodeId &from, const Message &message) -> void
     {
         if (m_core.hasLeft())
             return;
         const auto isPeer = message.self.domain == m_core.self().domain;
-        const auto *known = m_core.table().find(from);
-        const auto wasGone = isPeer && known != nullptr && !isPresent(*known);
+        const auto *current = m_core.table().find(from);
+        const auto wasAbsent = isPeer && current != nullptr && !isPresent(*current);
         m_core.apply(message.self);
         if (!isPeer)
             m_relays.didHear(from, message);
-        // One that was given up is back: what it knows may be the other half of a healed partition.
-        if (Policy::tellsSuspects && wasGone && isPresent(message.self))
+        // A node that was declared dead is back: its records may be those of the other half of a healed partition.
+        if (Policy::tellsSuspects && wasAbsent && isPresent(message.self))
             m_exchange.hurry(m_core.self().domain, from);
         if (!message.annotation.empty())
             m_core.emitAnnotation(from, message.annotation);
         const auto accepted = withoutRejected(message, isPeer);
         if (isExchange(message.kind)) {
-            takeExchange(from, accepted);
+            handleExchange(from, accepted);
             return;
         }
         for (const auto &it : accepted.updates)
             m_core.apply(it);
         for (const auto &it : accepted.statements)
             m_core.statements().merge(it);
-        takeProbe(from, accepted, isPeer);
+        handleProbe(from, accepted, isPeer);
     }
 
     static auto isExchange(MessageKind kind) -> bool
@@ -227,7 +228,8 @@
                || kind == MessageKind::RecordsBack;
     }
 
-    /// Nodes of a domain speak for its members; what they heard of others is for their own domain alone.
+    /// Returns `message` without the parts that its sender may not send: nodes of another domain send records of that
+    /// domain's members only, and no contact statements.
     auto withoutRejected(const Message &message, bool isPeer) -> Message
     {
         auto accepted = message;
@@ -241,7 +243,7 @@
         return accepted;
     }
 
-    auto takeExchange(const NodeId &from, const Message &message) -> void
+    auto handleExchange(const NodeId &from, const Message &message) -> void
     {
         const auto isPeer = message.self.domain == m_core.self().domain;
         if (message.kind == MessageKind::Digest) {
@@ -254,7 +256,7 @@
             m_relays.didReceiveRecords(message);
     }
 
-    auto takeProbe(const NodeId &from, const Message &message, bool isPeer) -> void
+    auto handleProbe(const NodeId &from, const Message &message, bool isPeer) -> void
     {
         const auto contacts =
                 isPeer ? std::vector<NodeId>() : m_discovery.contactsFor(message.self.domain);
@@ -268,13 +270,14 @@
             m_discovery.addHints(message.contacts);
     }
 
-    /// Passes on at once that a member drains or leaves: work should not be placed there for another log N periods.
-    auto spreadUrgent() -> void
+    /// Forwards the records of draining or leaving members without delay: no calls should be sent there for another
+    /// log N periods.
+    auto sendUrgent() -> void
     {
         for (const auto &it : m_core.takeUrgent()) {
-            if (m_urgentLeft == 0 && it.node != m_core.self().node)
+            if (m_remainingUrgent == 0 && it.node != m_core.self().node)
                 continue;
-            m_urgentLeft = m_urgentLeft == 0 ? 0 : m_urgentLeft - 1;
+            m_remainingUrgent = m_remainingUrgent == 0 ? 0 : m_remainingUrgent - 1;
             for (const auto &peer : m_core.randomPeers(m_core.settings().urgentFanOut)) {
                 auto message = Message();
                 message.kind = MessageKind::Gossip;
@@ -291,16 +294,17 @@
     DigestExchange<Policy> m_exchange;
     RelayExchange<Policy> m_relays;
     PeerDiscovery<Policy> m_discovery;
-    TimePoint m_lastSeen;
+    TimePoint m_lastAdvance;
     std::uint64_t m_periods = 0;
-    TimePoint m_nextPeriod; ///< Its first value is drawn from the length of the first period.
-    std::uint32_t m_urgentLeft = 0;
-    std::uint32_t m_farewells = 3; ///< Repetitions of the own leaving, which nobody acknowledges.
+    TimePoint m_nextPeriod; ///< The first value is a random offset within the first period.
+    std::uint32_t m_remainingUrgent = 0;
+    std::uint32_t m_leaveRepetitions =
+            3; ///< Number of further leave notifications; they are repeated because nobody acknowledges them.
 };
 
 extern template class BasicMembershipState<StandardPolicy>;
 
-/// What nodes run.
+/// The protocol as production nodes run it.
 using MembershipState = BasicMembershipState<StandardPolicy>;
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/Message.h
+++ b/include/stairspur/membership/Message.h
@@ -12,11 +12,11 @@
 
 inline constexpr auto MaxAnnotationBytes = std::size_t{24};
 inline constexpr auto MaxNameBytes = std::size_t{64};
-/// Buckets of a digest; see MemberDigest.h.
+/// Number of buckets of a digest; see MemberDigest.h.
 inline constexpr auto DigestBuckets = std::size_t{64};
 inline constexpr auto DigestBytes = DigestBuckets * 2;
 
-/// A datagram that is no membership message. It is counted and dropped.
+/// Thrown for a datagram that is no membership message. Such datagrams are counted and dropped.
 class MessageError : public InputError
 {
 public:
@@ -26,14 +26,14 @@
 enum class MessageKind {
     Ping,
     Ack,
-    PingRequest, ///< Probe `target` for the sender (SWIM, section 3.1).
-    Digest,      ///< Asks for the records that differ.
-    Records,     ///< Answers a digest.
-    RecordsBack, ///< The asker's records in the buckets that differed.
-    Gossip,      ///< Updates that should not wait for the next probe.
+    PingRequest, ///< Requests a probe of `target` for the sender (SWIM, section 3.1).
+    Digest,      ///< Requests the records that differ.
+    Records,     ///< Replies to a digest.
+    RecordsBack, ///< Carries the requester's records of the buckets that differ.
+    Gossip,      ///< Carries updates that should not wait for the next probe.
 };
 
-/// What a relay says of its contact with another domain. The greater version counts.
+/// The statement of a relay about its contact with another domain. The statement with the greater version is valid.
 struct ContactStatement
 {
     NodeId relay;
@@ -44,47 +44,49 @@
     auto operator==(const ContactStatement &) const -> bool = default;
 };
 
-/// One datagram of the protocol. Empty parts cost nothing.
+/// One datagram of the protocol. Empty parts are not encoded.
 struct Message
 {
     MessageKind kind = MessageKind::Ping;
-    std::uint32_t sequence = 0; ///< Repeated by the answer.
+    std::uint32_t sequence = 0; ///< Repeated in the answer.
     Member self;                ///< The sender's own record.
     std::vector<Member> updates;
     std::string annotation;
-    NodeId target;                ///< Of a PingRequest.
+    NodeId target;                ///< Set in a PingRequest.
     std::vector<NodeId> contacts; ///< Nodes of the receiver's domain, or relays of the sender's.
-    std::string digestDomain;     ///< Of a Digest, Records or RecordsBack: whose records.
-    std::string filter;           ///< Of a Digest: ServiceFilter bytes, or empty for everything.
-    std::string hashes;           ///< Of a Digest: DigestBytes.
-    std::string buckets;          ///< Of Records: the numbers of the buckets in this datagram.
-    bool isWhole = true; ///< Of Records: those buckets have no records beyond this datagram.
+    std::string digestDomain;     ///< Domain of the records in a Digest, Records or RecordsBack.
+    std::string filter;           ///< ServiceFilter bytes in a Digest; empty for all records.
+    std::string hashes;           ///< DigestBytes bytes in a Digest.
+    std::string buckets;          ///< Numbers of the buckets in this datagram of Records.
+    /// In Records: whether the datagram contains all records of its buckets.
+    bool isWhole = true;
     std::vector<ContactStatement> statements;
 
     auto operator==(const Message &) const -> bool = default;
 };
 
-/// `message` as CBOR.
+/// Returns `message` encoded as CBOR.
 auto encode(const Message &message) -> std::string;
 
-/// Throws MessageError for anything that encode() would not write.
+/// Returns the message in `bytes`. Throws MessageError for bytes that encode() would not produce.
 auto decode(std::string_view bytes) -> Message;
 
-/// Counts the bytes that records add to one message, so that it stays below a bound.
+/// Limits the number of bytes that records add to one message.
 class RecordBudget
 {
 public:
     explicit RecordBudget(std::size_t bytes)
-        : m_left(bytes)
+        : m_remaining(bytes)
     {}
 
-    /// Whether `member` still fits; then its bytes are taken.
+    /// Returns whether `member` fits into the budget, and subtracts its bytes if so.
     auto take(const Member &member) -> bool;
-    [[nodiscard]] auto left() const -> std::size_t { return m_left; }
+    [[nodiscard]] auto left() const -> std::size_t { return m_remaining; }
 
 private:
-    std::size_t m_left;
-    std::vector<std::string> m_names; ///< Already in the message, so that they cost an index only.
+    std::size_t m_remaining;
+    /// Names that are already in the message and cost only an index.
+    std::vector<std::string> m_names;
 };
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/PeerDiscovery.h
+++ b/include/stairspur/membership/PeerDiscovery.h
@@ -9,8 +9,9 @@
 
 namespace stairspur::membership {
 
-/// Finds nodes that this one has no live record of: seeds and hints when it joins, with a growing pause and jitter, and
-/// now and then a dead member or an unheard seed, so that a healed partition is noticed from both sides.
+/// Finds nodes without a live record. While this node has no peers, it probes seeds and hints with exponential
+/// backoff and jitter. Later it periodically probes a dead member or a seed that never answered, so that a healed
+/// partition is detected from both sides.
 template <MembershipPolicy Policy>
 class PeerDiscovery
 {
@@ -23,7 +24,7 @@
         addHints(core.settings().seeds);
     }
 
-    /// Addresses that may be nodes, of any domain. A bounded number is kept.
+    /// Adds addresses that may be nodes of any domain. At most MaxHints are kept.
     auto addHints(const std::vector<NodeId> &nodes) -> void
     {
         for (const auto &it : nodes) {
@@ -41,10 +42,10 @@
         if (--m_periodsToRepair > 0)
             return;
         m_periodsToRepair = m_core.settings().repairPeriods;
-        repair();
+        probeLost();
     }
 
-    /// Nodes of the domain of a stranger that has not found its own.
+    /// Returns contacts in `domain` for an unknown node that has not found its own domain.
     auto contactsFor(const std::string &domain) -> std::vector<NodeId>
     {
         return m_core.table().relaysOf(domain);
@@ -55,21 +56,22 @@
 
     auto join() -> void
     {
-        static constexpr auto HintsAtOnce = std::size_t{3};
+        static constexpr auto HintsPerAttempt = std::size_t{3};
         if (--m_periodsToJoin > 0)
             return;
-        for (const auto &it : someHints(HintsAtOnce))
+        for (const auto &it : randomHints(HintsPerAttempt))
             m_detector.sendPing(it);
-        // Half of the pause is random, so that a domain that starts as a whole doesn't ask its seeds in step.
+        // Half of the delay is random, so that a domain that starts as a whole does not probe its seeds
+        // simultaneously.
         m_periodsToJoin = m_backoff / 2 + randomBelow(m_core.random(), m_backoff / 2 + 1) + 1;
         m_backoff = std::min<std::uint64_t>(m_backoff * 2, m_core.settings().maxJoinBackoffPeriods);
     }
 
-    auto repair() -> void
+    auto probeLost() -> void
     {
         if (!Policy::probesDead)
             return;
-        auto candidates = unheardHints();
+        auto candidates = hintsWithoutRecord();
         for (const auto &[node, entry] : m_core.table().entries()) {
             const auto isOwn = entry.member.domain == m_core.self().domain;
             if (isOwn && entry.member.liveness == Liveness::Dead)
@@ -79,18 +81,18 @@
             m_detector.sendPing(candidates[randomBelow(m_core.random(), candidates.size())]);
     }
 
-    auto unheardHints() -> std::vector<NodeId>
+    auto hintsWithoutRecord() -> std::vector<NodeId>
     {
-        auto unheard = std::vector<NodeId>();
+        auto hints = std::vector<NodeId>();
         for (const auto &it : m_hints) {
             const auto *member = m_core.table().find(it);
             if (member == nullptr)
-                unheard.push_back(it);
+                hints.push_back(it);
         }
-        return unheard;
+        return hints;
     }
 
-    auto someHints(std::size_t n) -> std::vector<NodeId>
+    auto randomHints(std::size_t n) -> std::vector<NodeId>
     {
         auto chosen = std::vector<NodeId>(m_hints.begin(), m_hints.end());
         std::shuffle(chosen.begin(), chosen.end(), m_core.random());
--- a/include/stairspur/membership/RelayExchange.h
+++ b/include/stairspur/membership/RelayExchange.h
@@ -11,9 +11,10 @@
 
 namespace stairspur::membership {
 
-/// Contact with other failure domains. The own domain's relays, the first by rendezvous rank, fetch records of services
-/// of interest from the relays of each other domain; gossip spreads them. When no relay reaches a domain, its members
-/// are kept and shown as suspect until one does again: a partition is not the death of the other side.
+/// Contact with other failure domains. The relays of the own domain, its first members by rendezvous rank, fetch the
+/// records of services of interest from the relays of each other domain; gossip spreads the records. While no relay
+/// reaches a domain, its members are kept and shown as suspect, since a partition does not mean that the other side
+/// is dead.
 template <MembershipPolicy Policy>
 class RelayExchange
 {
@@ -26,46 +27,47 @@
     auto setServicesOfInterest(const std::set<std::string> &services) -> void
     {
         m_core.setFilter(ServiceFilter(services));
-        // What is new to the filter should not wait for the next turn.
+        // Records that the new filter lets pass are fetched in the next period.
         for (auto &[name, contact] : m_contacts)
             contact.periodsToNext = 1;
     }
 
     auto beginPeriod() -> void
     {
-        noteDomains();
+        addNewDomains();
         const auto &relays = m_core.table().relaysOf(m_core.self().domain);
         const auto isRelay =
                 std::find(relays.begin(), relays.end(), m_core.self().node) != relays.end();
         m_core.statements().keepOnly(relays);
         for (auto &[domain, contact] : m_contacts) {
             if (isRelay)
-                keepContact(domain, contact);
+                updateContact(domain, contact);
             else
                 contact.periodsAsRelay = 0;
-            noteReachability(domain, contact, relays);
+            updateReachability(domain, contact, relays);
         }
         if (!Policy::keepsUnreachableDomains)
             declareUnreachableDead();
     }
 
-    /// A message of a node of another domain came in.
+    /// Records that a message of a node of another domain was received.
     auto didHear(const NodeId &from, const Message &message) -> void
     {
         auto &contact = m_contacts[message.self.domain];
-        contact.lastHeard = m_core.now();
-        contact.unanswered = 0;
-        remember(contact, from);
-        // Contacts in an answer to a probe are nodes of this domain, not of the sender's.
+        contact.lastSeen = m_core.now();
+        contact.unansweredDigests = 0;
+        addNode(contact, from);
+        // Contacts in an answer to a probe are nodes of the own domain, not of the sender's.
         if (message.kind == MessageKind::Records) {
             for (const auto &it : message.contacts)
-                remember(contact, it);
+                addNode(contact, it);
         }
         if (message.kind == MessageKind::Digest && !message.filter.empty())
-            contact.theirFilter = message.filter;
+            contact.peerFilter = message.filter;
     }
 
-    /// An answer of another domain's node to a digest: what it left out of a whole bucket is gone there.
+    /// Processes the reply of another domain's node to a digest. A member that is missing from a complete bucket is
+    /// dead there.
     auto didReceiveRecords(const Message &records) -> void
     {
         const auto &domain = records.self.domain;
@@ -77,15 +79,15 @@
             declareMissingDead(records);
     }
 
-    /// Tells the other domains that call this member's service that it drains or leaves.
+    /// Notifies the other domains that call this member's service that it drains or leaves.
     auto tellOthers(const Member &member) -> void
     {
         const auto &relays = m_core.table().relaysOf(m_core.self().domain);
         if (std::find(relays.begin(), relays.end(), m_core.self().node) == relays.end())
             return;
         for (auto &[domain, contact] : m_contacts) {
-            if (contact.theirFilter.empty()
-                || !ServiceFilter(contact.theirFilter).mayContain(member.service))
+            if (contact.peerFilter.empty()
+                || !ServiceFilter(contact.peerFilter).mayContain(member.service))
                 continue;
             auto message = Message();
             message.kind = MessageKind::Gossip;
@@ -97,7 +99,7 @@
     auto didPause(Duration gap) -> void
     {
         for (auto &[name, contact] : m_contacts)
-            contact.lastHeard += gap;
+            contact.lastSeen += gap;
     }
 
     [[nodiscard]] auto isReachable(const std::string &domain) const -> bool
@@ -109,16 +111,16 @@
 private:
     struct Contact
     {
-        TimePoint lastHeard;
+        TimePoint lastSeen;
         std::uint32_t periodsToNext = 1;
         std::uint32_t periodsAsRelay = 0;
-        std::uint32_t unanswered = 0; ///< Digests since the last message.
-        bool isReachable = true;      ///< As the relays' statements say.
-        std::vector<NodeId> nodes;    ///< The last heard first.
-        std::string theirFilter;
+        std::uint32_t unansweredDigests = 0; ///< Digests sent since the last received message.
+        bool isReachable = true;             ///< According to the statements of the relays.
+        std::vector<NodeId> nodes;           ///< Most recently seen first.
+        std::string peerFilter;
     };
 
-    static auto remember(Contact &contact, const NodeId &node) -> void
+    static auto addNode(Contact &contact, const NodeId &node) -> void
     {
         static constexpr auto MaxNodes = std::size_t{8};
         std::erase(contact.nodes, node);
@@ -127,36 +129,36 @@
             contact.nodes.pop_back();
     }
 
-    auto noteDomains() -> void
+    auto addNewDomains() -> void
     {
         for (const auto &it : m_core.table().domains()) {
             if (it != m_core.self().domain && !m_contacts.contains(it))
-                m_contacts[it].lastHeard = m_core.now();
+                m_contacts[it].lastSeen = m_core.now();
         }
     }
 
-    /// Exchanges when it is this domain's turn, and says so when its silence has lasted too long or has ended.
-    auto keepContact(const std::string &domain, Contact &contact) -> void
+    /// Sends a digest when it is due, and states when contact was lost for too long or has been restored.
+    auto updateContact(const std::string &domain, Contact &contact) -> void
     {
         const auto &settings = m_core.settings();
         ++contact.periodsAsRelay;
         if (--contact.periodsToNext == 0) {
-            // A random first digit keeps the relays of a domain from asking at the same time.
+            // The random interval keeps the relays of a domain from sending at the same time.
             contact.periodsToNext = settings.relayPeriods / 2
                                     + static_cast<std::uint32_t>(
                                             randomBelow(m_core.random(), settings.relayPeriods))
                                     + 1;
-            ++contact.unanswered;
+            ++contact.unansweredDigests;
             ++m_core.counters().relayExchanges;
             m_exchange.sendDigest(pickContact(domain, contact), domain, &m_core.filter());
         }
-        const auto silence = m_core.now() - contact.lastHeard;
+        const auto silence = m_core.now() - contact.lastSeen;
         const auto isLost = silence > settings.period * settings.contactLostPeriods
                             && contact.periodsAsRelay > settings.contactLostPeriods;
-        state(domain, !isLost);
+        publishStatement(domain, !isLost);
     }
 
-    auto state(const std::string &domain, bool isReachable) -> void
+    auto publishStatement(const std::string &domain, bool isReachable) -> void
     {
         const auto *last = m_core.statements().find(domain, m_core.self().node);
         const auto wasReachable = last == nullptr || last->isReachable;
@@ -166,8 +168,8 @@
         m_core.statements().merge({m_core.self().node, domain, version, isReachable});
     }
 
-    auto noteReachability(const std::string &domain, Contact &contact,
-                          const std::vector<NodeId> &relays) -> void
+    auto updateReachability(const std::string &domain, Contact &contact,
+                            const std::vector<NodeId> &relays) -> void
     {
         const auto isReachable = m_core.statements().isReachable(domain, relays);
         if (contact.isReachable == isReachable)
@@ -178,10 +180,10 @@
                     {}, domain);
     }
 
-    /// The contact that was heard last, as long as it answers; else any other that is known.
+    /// Returns the contact that was last seen, as long as it answers; otherwise a random recorded node of `domain`.
     auto pickContact(const std::string &domain, const Contact &contact) -> NodeId
     {
-        if (!contact.nodes.empty() && contact.unanswered <= 1)
+        if (!contact.nodes.empty() && contact.unansweredDigests <= 1)
             return contact.nodes.front();
         auto candidates = contact.nodes;
         const auto &relays = m_core.table().relaysOf(domain);
@@ -199,7 +201,8 @@
         for (const auto &[node, entry] : m_core.table().entries()) {
             if (entry.member.domain != domain)
                 continue;
-            // Reservoir sampling: each has the same chance, the dead ones too, which may be back.
+            // Reservoir sampling gives each member the same chance. Dead members are included, since they may be
+            // back.
             if (randomBelow(m_core.random(), ++seen) == 0)
                 chosen = node;
         }
@@ -214,7 +217,7 @@
             if (!isPresent(entry.member)
                 || !isInScope(entry.member, records.self.domain, &m_core.filter()))
                 continue;
-            // A late answer may be older than the record.
+            // A late reply may be older than the record.
             if (m_core.now() - entry.changedAt < minimumAge)
                 continue;
             const auto bucket = static_cast<char>(bucketOf(node));
--- a/include/stairspur/membership/RendezvousSlots.h
+++ b/include/stairspur/membership/RendezvousSlots.h
@@ -13,45 +13,51 @@
 
 namespace stairspur::membership {
 
-/// What a node does with the leased rendezvous keys of its domain in the platform's store.
+/// Settings for the leased rendezvous keys of a node's domain in the platform's store.
 struct RendezvousSettings
 {
-    std::uint32_t slots = 3;        ///< Keys `/stairspur/rendezvous/<domain>/<n>` of each domain.
-    Duration leaseTime{30'000'000}; ///< A lapsed lease frees the slot.
+    /// Number of keys `/stairspur/rendezvous/<domain>/<n>` of each domain.
+    std::uint32_t slots = 3;
+    /// Time after which an unrenewed lease lapses and frees its slot.
+    Duration leaseTime{30'000'000};
     Duration renewInterval{10'000'000};
-    Duration readInterval{
-            600'000'000}; ///< Between two looks for a free slot; a half to one and a half of it.
-    Duration claimSpread{
-            30'000'000}; ///< A node waits up to this long before it claims what it saw free.
-    Duration minimumBackoff{1'000'000}; ///< After the store failed; doubles up to the next.
+    /// Mean time between two reads that look for a free slot; the actual time is between a half and one and a half of it.
+    Duration readInterval{600'000'000};
+    /// Maximum random delay before a node claims a slot that it read as free.
+    Duration claimSpread{30'000'000};
+    /// Backoff after the first failure of the store. It doubles up to `maximumBackoff`.
+    Duration minimumBackoff{1'000'000};
     Duration maximumBackoff{300'000'000};
-    /// The same for the few that hold a slot or have lost it meanwhile: their keys are back about two seconds after the
-    /// store, as those rely on who starts then. 39 holders in 13 failure domains ask 39 times a second at most.
+    /// Maximum backoff of the few nodes that hold a slot or lost it during the outage. Their keys are back about two
+    /// seconds after the store, since nodes that start then depend on them. 39 holders in 13 failure domains send at
+    /// most 39 requests a second.
     Duration holderBackoff{1'000'000};
 };
 
-/// The call of the store that is due.
+/// The request to the store that is due.
 enum class RendezvousAction {
     None,
-    Read,  ///< Read the domain's keys; answer with didRead().
-    Claim, ///< Create the key of slot() with a lease, if it does not exist; answer with didClaim().
-    Renew, ///< Keep the lease alive; answer with didRenew().
-    Release, ///< Revoke the lease; no answer is needed.
+    Read, ///< Read the keys of the domain; the result is passed to didRead().
+    /// Create the key of slot() with a lease if it does not exist; the result is passed to didClaim().
+    Claim,
+    Renew,   ///< Renew the lease; the result is passed to didRenew().
+    Release, ///< Revoke the lease; no result is needed.
 };
 
-/// The guards of RendezvousSlots; see MembershipPolicy.h.
+/// The safety rules of RendezvousSlots; see MembershipPolicy.h.
 struct StandardRendezvousPolicy
 {
-    static constexpr auto noticesLapse =
-            true; ///< A holder that could not renew in time holds nothing.
-    static constexpr auto readsBeforeClaim =
-            true; ///< A slot is claimed only when the last look saw it free.
-    static constexpr auto backsOff = true; ///< A failing store is asked less and less often.
+    /// A holder that could not renew its lease in time no longer holds the slot.
+    static constexpr auto noticesLapse = true;
+    /// A slot is claimed only if the latest read showed it as free.
+    static constexpr auto readsBeforeClaim = true;
+    /// The rate of requests to a failing store decreases.
+    static constexpr auto backsOff = true;
 };
 
-/// Decides when a node reads, claims and renews a rendezvous slot. The keys are hints for nodes that join and nothing
-/// else depends on them, so that a holder which was paused may safely be wrong. No I/O: the runtime asks next() and
-/// reports what came of it; one call at a time.
+/// Decides when a node reads, claims and renews a rendezvous slot. The keys are only hints for nodes that join, so a
+/// holder that was paused may hold a wrong state without harm. The class does no I/O: the runtime calls next(), sends
+/// one request at a time, and reports the result.
 template <typename Policy = StandardRendezvousPolicy>
 class BasicRendezvousSlots
 {
@@ -62,21 +68,22 @@
         , m_due(now)
     {}
 
-    /// The call that is due at `now`. After anything but None it must be answered before it is asked again.
+    /// Returns the request that is due at `now`. The result of any action but None and Release must be reported
+    /// before the next call.
     auto next(TimePoint now) -> RendezvousAction
     {
         if (m_isHolding && Policy::noticesLapse && now >= m_leaseEnd)
-            lose(now);
+            didLoseSlot(now);
         if (now < m_due)
             return RendezvousAction::None;
         if (m_isStopped)
             return stop();
         if (m_isHolding)
             return RendezvousAction::Renew;
-        return m_mayClaim ? RendezvousAction::Claim : RendezvousAction::Read;
+        return m_canClaim ? RendezvousAction::Claim : RendezvousAction::Read;
     }
 
-    /// The keys of the domain as read: the node in each slot, or nothing.
+    /// Records the keys of the domain: the node in each slot, or nothing if the slot is free.
     auto didRead(const std::vector<std::optional<NodeId>> &holders, TimePoint now) -> void
     {
         m_backoff = Duration{0};
@@ -89,24 +96,25 @@
                 free.push_back(index);
         }
         if (free.empty()) {
-            m_sawFree = false;
+            m_hasSeenFreeSlot = false;
             m_wasHolding = false;
             m_due = now + m_settings.readInterval / 2 + jitter(m_settings.readInterval);
             return;
         }
         m_slot = free[randomBelow(m_random, free.size())];
-        // A whole domain that starts sees the same slots free: each waits for a while and looks again.
-        m_mayClaim = m_sawFree || !Policy::readsBeforeClaim;
-        m_due = m_mayClaim ? now : now + jitter(m_settings.claimSpread);
-        m_sawFree = true;
+        // All nodes of a domain that starts see the same free slots, so each waits for a random time and reads again.
+        m_canClaim = m_hasSeenFreeSlot || !Policy::readsBeforeClaim;
+        m_due = m_canClaim ? now : now + jitter(m_settings.claimSpread);
+        m_hasSeenFreeSlot = true;
     }
 
-    /// Whether the key could be created. `sentAt`: when the call was sent; the lease runs from then at the latest.
+    /// Records whether the key was created. `sentAt` is the time at which the request was sent; the lease counts
+    /// from then.
     auto didClaim(bool isCreated, TimePoint sentAt, TimePoint now) -> void
     {
         m_backoff = Duration{0};
-        m_mayClaim = false;
-        m_sawFree = false;
+        m_canClaim = false;
+        m_hasSeenFreeSlot = false;
         if (!isCreated) {
             m_due = now + jitter(m_settings.claimSpread);
             return;
@@ -116,23 +124,24 @@
         m_due = now + m_settings.renewInterval;
     }
 
-    /// Whether the lease was still there.
+    /// Records whether the lease still existed.
     auto didRenew(bool isAlive, TimePoint sentAt, TimePoint now) -> void
     {
         m_backoff = Duration{0};
         if (!isAlive) {
-            lose(now);
+            didLoseSlot(now);
             return;
         }
         m_leaseEnd = sentAt + m_settings.leaseTime;
         m_due = now + m_settings.renewInterval;
     }
 
-    /// The store did not answer, or with an error. Whether a claim took effect shows when the keys are read again.
+    /// Records that the store did not answer, or answered with an error. The next read shows whether a claim took
+    /// effect.
     auto didFail(TimePoint now) -> void
     {
-        m_mayClaim = false;
-        m_sawFree = false;
+        m_canClaim = false;
+        m_hasSeenFreeSlot = false;
         const auto isHolder = m_isHolding || m_wasHolding;
         const auto maximum = isHolder ? m_settings.holderBackoff : m_settings.maximumBackoff;
         const auto doubled = std::clamp(m_backoff * 2, m_settings.minimumBackoff, maximum);
@@ -140,19 +149,19 @@
         m_due = now + m_backoff / 2 + jitter(m_backoff);
     }
 
-    /// The node goes: the slot is released.
+    /// Releases the slot, since the node leaves.
     auto leave(TimePoint now) -> void
     {
         m_isStopped = true;
         m_due = now;
     }
 
-    /// When next() has something to do; never after a release.
+    /// Returns when next() has an action; TimePoint::max() after a release.
     [[nodiscard]] auto due() const -> TimePoint { return m_due; }
 
     [[nodiscard]] auto slot() const -> std::uint32_t { return m_slot; }
     [[nodiscard]] auto isHolding() const -> bool { return m_isHolding; }
-    /// Nodes of the domain, as last read.
+    /// Returns the nodes of the domain, as last read.
     [[nodiscard]] auto hints() const -> const std::vector<NodeId> & { return m_hints; }
 
 private:
@@ -163,7 +172,7 @@
                                                  : RendezvousAction::None;
     }
 
-    auto lose(TimePoint now) -> void
+    auto didLoseSlot(TimePoint now) -> void
     {
         m_isHolding = false;
         m_wasHolding = true;
@@ -182,15 +191,16 @@
     TimePoint m_leaseEnd;
     Duration m_backoff{0};
     bool m_isHolding = false;
-    bool m_wasHolding = false; ///< Lost its slot, and has not seen others hold all of them since.
+    /// Whether the node lost its slot and has not read since that other nodes hold all slots.
+    bool m_wasHolding = false;
     bool m_isStopped = false;
-    bool m_sawFree = false;
-    bool m_mayClaim = false;
+    bool m_hasSeenFreeSlot = false;
+    bool m_canClaim = false;
     std::uint32_t m_slot = 0;
     std::vector<NodeId> m_hints;
 };
 
-/// What nodes run.
+/// The slots as production nodes use them.
 using RendezvousSlots = BasicRendezvousSlots<>;
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/ServiceFilter.h
+++ b/include/stairspur/membership/ServiceFilter.h
@@ -6,17 +6,17 @@
 
 namespace stairspur::membership {
 
-/// Services of interest as 1024 bits, one for each hash of a name: other domains' relays leave out what it doesn't
-/// hold. A chance collision costs a few records too many, never one too few.
+/// A set of services as 1024 bits, one for each hash of a name. Relays of other domains omit records of services that
+/// are not in it. A hash collision adds records that are not needed, but never omits one.
 class ServiceFilter
 {
 public:
     static constexpr auto Bytes = std::size_t{128};
 
-    /// Holds nothing.
+    /// Creates an empty filter.
     ServiceFilter() = default;
     explicit ServiceFilter(const std::set<std::string> &services);
-    /// From the bytes of another node's filter. Throws InputError unless there are 128.
+    /// Creates a filter from the bytes of another node's filter. Throws InputError unless there are 128.
     explicit ServiceFilter(std::string_view bytes);
 
     [[nodiscard]] auto mayContain(std::string_view service) const -> bool;
--- a/include/stairspur/membership/SuspicionTimers.h
+++ b/include/stairspur/membership/SuspicionTimers.h
@@ -11,8 +11,8 @@
 
 namespace stairspur::membership {
 
-/// How long a suspect has to refute: it grows with the logarithm of the members, as the time to reach them all does
-/// (SWIM, section 4.2).
+/// Returns how long a suspect has to refute. The time grows with the logarithm of the members, as does the time to
+/// reach all of them (SWIM, section 4.2).
 inline auto suspicionTimeout(const MembershipSettings &settings, std::size_t members) -> Duration
 {
     const auto scale = std::max(1.0, std::log10(static_cast<double>(members) + 1));
@@ -20,21 +20,21 @@
     return Duration(static_cast<Duration::rep>(settings.suspicionMultiplier * scale * period));
 }
 
-/// The suspects of this node and when they count as dead.
+/// The deadlines at which suspected members are declared dead.
 class SuspicionTimers
 {
 public:
     auto start(const NodeId &node, TimePoint deadline) -> void { m_deadlines[node] = deadline; }
     auto stop(const NodeId &node) -> void { m_deadlines.erase(node); }
 
-    /// Gives every suspect that much longer: this process did not run, so it could not hear them.
+    /// Extends every deadline by `gap`, in which this process did not run and could not receive refutations.
     auto extend(Duration gap) -> void
     {
         for (auto &[node, deadline] : m_deadlines)
             deadline += gap;
     }
 
-    /// Those whose time is up; they are no longer held.
+    /// Removes and returns the members whose deadline has passed.
     auto takeExpired(TimePoint now) -> std::vector<NodeId>
     {
         auto expired = std::vector<NodeId>();
--- a/include/stairspur/membership/UpdateQueue.h
+++ b/include/stairspur/membership/UpdateQueue.h
@@ -13,42 +13,43 @@
 
 namespace stairspur::membership {
 
-/// Members whose latest record still has to be passed on with other messages. Those sent least often go first, and each
-/// leaves after lambda log2 N sends (SWIM, section 4.1), so that the bytes for one change are bounded.
+/// Members whose latest record is still to be sent along with other messages. Updates with the fewest sends go first,
+/// and each is removed after lambda log2 N sends (SWIM, section 4.1), so that the number of bytes for one change is
+/// bounded.
 template <MembershipPolicy Policy>
 class UpdateQueue
 {
 public:
-    /// `salt` differs between nodes, so that they don't all send the same updates first.
+    /// `salt` differs between nodes, so that they do not all send the same updates first.
     explicit UpdateQueue(std::uint64_t salt)
         : m_salt(salt)
     {}
 
-    /// Starts anew for a member whose record has changed.
-    auto push(const NodeId &node) -> void { m_sends[node] = 0; }
-    auto erase(const NodeId &node) -> void { m_sends.erase(node); }
+    /// Queues the changed record of `node` with a send count of zero.
+    auto push(const NodeId &node) -> void { m_sendCounts[node] = 0; }
+    auto erase(const NodeId &node) -> void { m_sendCounts.erase(node); }
 
-    /// Another node passed the same record on: it spreads without this one too. In the second half of its sends that
-    /// counts as some (rumor mongering with feedback, Demers et al., PODC 1987).
+    /// Records that another node sent the same record, so that it spreads without this node too. In the second half
+    /// of its sends this counts as two sends (rumor mongering with feedback, Demers et al., PODC 1987).
     auto didHearAgain(const NodeId &node, std::uint32_t sendLimit) -> void
     {
-        static constexpr auto SendsForHearing = 2U;
-        const auto it = m_sends.find(node);
-        if (it != m_sends.end() && it->second >= sendLimit / 2)
-            it->second += SendsForHearing;
+        static constexpr auto SendsPerDuplicate = 2U;
+        const auto it = m_sendCounts.find(node);
+        if (it != m_sendCounts.end() && it->second >= sendLimit / 2)
+            it->second += SendsPerDuplicate;
     }
-    [[nodiscard]] auto size() const -> std::size_t { return m_sends.size(); }
+    [[nodiscard]] auto size() const -> std::size_t { return m_sendCounts.size(); }
 
-    /// Records for one message, as many as `budget` has room for.
+    /// Returns records for one message, as many as fit into `budget`.
     auto take(const MemberTable<Policy> &table, RecordBudget &budget, std::uint32_t sendLimit)
             -> std::vector<Member>
     {
         auto chosen = std::vector<Member>();
-        for (const auto &node : inOrder()) {
+        for (const auto &node : sortedBySends()) {
             const auto *member = table.find(node);
-            auto &sends = m_sends[node];
+            auto &sends = m_sendCounts[node];
             if (member == nullptr || (Policy::boundsRetransmission && sends >= sendLimit)) {
-                m_sends.erase(node);
+                m_sendCounts.erase(node);
                 continue;
             }
             if (!budget.take(*member))
@@ -60,11 +61,11 @@
     }
 
 private:
-    [[nodiscard]] auto inOrder() const -> std::vector<NodeId>
+    [[nodiscard]] auto sortedBySends() const -> std::vector<NodeId>
     {
         auto ranked = std::vector<std::tuple<std::uint32_t, std::uint64_t, NodeId>>();
-        ranked.reserve(m_sends.size());
-        for (const auto &[node, sends] : m_sends)
+        ranked.reserve(m_sendCounts.size());
+        for (const auto &[node, sends] : m_sendCounts)
             ranked.emplace_back(sends, hash64(node, m_salt), node);
         std::sort(ranked.begin(), ranked.end());
         auto nodes = std::vector<NodeId>();
@@ -75,10 +76,10 @@
     }
 
     std::uint64_t m_salt;
-    std::map<NodeId, std::uint32_t> m_sends;
+    std::map<NodeId, std::uint32_t> m_sendCounts;
 };
 
-/// How often an update is sent in a group of `members`.
+/// Returns how often an update is sent in a group of `members`.
 inline auto sendLimit(double multiplier, std::size_t members) -> std::uint32_t
 {
     return static_cast<std::uint32_t>(
--- a/include/stairspur/membership/ViewPacer.h
+++ b/include/stairspur/membership/ViewPacer.h
@@ -4,10 +4,10 @@
 
 namespace stairspur::membership {
 
-/// Says when a new view of the members is due, so that one is not made for each of many changes: each costs a copy of
-/// all members and whatever its readers make of it. The first change after a quiet time is due at once; those that
-/// follow within the pause are due together at its end. One that should not wait, as that a member drains, may go
-/// before, but once between two others: there are at most two views in each pause, whatever happens.
+/// Limits how often a new view of the members is published: each view costs a copy of all members and the work of its
+/// readers. The first change after a quiet time is due at once; changes within the following pause are due together
+/// at its end. An urgent change, such as that a member drains, may be published early, but only once between two
+/// regular views, so that there are at most two views in each pause.
 class ViewPacer
 {
 public:
@@ -22,15 +22,15 @@
         m_isUrgent = true;
     }
 
-    /// Whether a view is to be made at `now`; if so, what has changed counts as shown.
+    /// Returns whether a view is due at `now`. If so, all changes so far count as published.
     auto takeDue(TimePoint now) -> bool;
 
 private:
     Duration m_pause;
-    TimePoint m_mayGoAt; ///< The end of the pause after the latest view.
+    TimePoint m_pauseEnd; ///< End of the pause after the latest view.
     bool m_hasChanged = false;
     bool m_isUrgent = false;
-    bool m_wasEarly = false; ///< The latest view did not wait for the pause's end.
+    bool m_wasEarly = false; ///< Whether the latest view was published before the end of the pause.
 };
 
 } // namespace stairspur::membership
--- a/source/membership/Announcement.cpp
+++ b/source/membership/Announcement.cpp
@@ -33,7 +33,7 @@
 {
     const auto it = body.find(field);
     if (it == body.end() || !it->is_string())
-        fail(std::string("'") + field + "' is missing or no text", remedy);
+        fail(std::string("'") + field + "' is missing or not a text", remedy);
     return it->get<std::string>();
 }
 
@@ -47,7 +47,7 @@
     };
     if (service.empty() || service.size() > MaxNameBytes
         || !std::all_of(service.begin(), service.end(), isAllowed))
-        fail("'service' is no service name", Remedy);
+        fail("'service' is not a valid service name", Remedy);
     return service;
 }
 
@@ -67,7 +67,7 @@
         fail("the body is too long", "send at most 4096 bytes");
     const auto body = Json::parse(json, nullptr, false);
     if (!body.is_object())
-        fail("the body is no JSON object",
+        fail("the body is not a JSON object",
              R"(send {"service": ..., "port": ..., "slots": ..., "state": ...})");
     auto announcement = Announcement();
     announcement.service = readService(body);
--- a/source/membership/BackendAnnouncements.cpp
+++ b/source/membership/BackendAnnouncements.cpp
@@ -4,11 +4,11 @@
 
 namespace stairspur::membership {
 
-auto BackendAnnouncements::stateThatCounts(ServingState announced) const -> ServingState
+auto BackendAnnouncements::effectiveState(ServingState announced) const -> ServingState
 {
-    const auto wouldTakeWork =
+    const auto acceptsWork =
             announced == ServingState::Starting || announced == ServingState::Serving;
-    return m_isDraining && wouldTakeWork ? ServingState::Draining : announced;
+    return m_isDraining && acceptsWork ? ServingState::Draining : announced;
 }
 
 auto BackendAnnouncements::lastLifeOf(const std::string &instance) const
@@ -16,12 +16,12 @@
 {
     if (m_current && m_current->life.instance == instance)
         return m_current->life;
-    const auto isNamedSo = [&](const BackendLife &it) { return it.instance == instance; };
-    const auto last = std::find_if(m_retired.rbegin(), m_retired.rend(), isNamedSo);
+    const auto hasThisName = [&](const BackendLife &it) { return it.instance == instance; };
+    const auto last = std::find_if(m_retired.rbegin(), m_retired.rend(), hasThisName);
     return last == m_retired.rend() ? std::nullopt : std::optional(*last);
 }
 
-auto BackendAnnouncements::isPast(const BackendLife &life) const -> bool
+auto BackendAnnouncements::hasEnded(const BackendLife &life) const -> bool
 {
     if (life.instance.empty())
         return false;
@@ -31,55 +31,57 @@
     return last && life.startedAtMs < last->startedAtMs;
 }
 
-/// Late announcements come from a life that is over, or are older than one that was heard.
+/// Late announcements belong to a process instance that has ended, or are older than the latest received one.
 auto BackendAnnouncements::isOutdated(const Announcement &announcement) const -> bool
 {
     if (announcement.life.instance.empty())
         return false;
     const auto isLate = m_current && m_current->life == announcement.life
                         && announcement.sequence < m_current->sequence;
-    return isLate || isPast(announcement.life);
+    return isLate || hasEnded(announcement.life);
 }
 
-static auto keepLast(std::deque<BackendLife> &lives, const BackendLife &life) -> void
+static auto appendBounded(std::deque<BackendLife> &instances, const BackendLife &life) -> void
 {
-    /// Far more lives than one host sees while an announcement is on its way.
-    static constexpr auto MaxKept = std::size_t{32};
+    /// Far more process instances than one host starts while an announcement is in transit.
+    static constexpr auto MaxInstances = std::size_t{32};
     if (life.instance.empty())
         return;
-    lives.push_back(life);
-    if (lives.size() > MaxKept)
-        lives.pop_front();
+    instances.push_back(life);
+    if (instances.size() > MaxInstances)
+        instances.pop_front();
 }
 
 auto BackendAnnouncements::retire(const BackendLife &life) -> void
 {
-    keepLast(m_retired, life);
+    appendBounded(m_retired, life);
 }
 
-/// A node that has just started may hear a late announcement of a dead server after the first one of the living, and take
-/// the dead for the newer; and a clock that was set back lets a new life seem earlier than the one before. Late
-/// announcements come at once when a cut ends; who announces over some time is alive.
-auto BackendAnnouncements::isBack(const Announcement &announcement, TimePoint now) -> bool
+/// A node that has just started may receive a late announcement of an ended process instance after the first one of
+/// the running instance, and regard the ended one as newer. A clock that was set back makes a new instance appear
+/// earlier than its predecessor. Late announcements arrive together when a network partition ends; an instance that
+/// announces itself over some time is running.
+auto BackendAnnouncements::isConfirmedReturn(const Announcement &announcement, TimePoint now)
+        -> bool
 {
-    /// Share of the timeout for silence: with three announcements in it, two in a row.
+    /// Fraction of the timeout that counts as silence. With three announcements in it, two in a row are needed.
     static constexpr auto ReturnDivisor = 3;
     const auto hasLeft = std::ranges::find(m_left, announcement.life) != m_left.end();
     if (hasLeft)
         return false;
-    const auto isKnown = m_returning && m_returning->life == announcement.life
-                         && m_returning->since >= m_lastHeard
-                         && m_returning->sequence < announcement.sequence;
-    if (!isKnown) {
-        m_returning = Returning{announcement.life, announcement.sequence, now};
+    const auto isSameCandidate = m_returnCandidate && m_returnCandidate->life == announcement.life
+                                 && m_returnCandidate->since >= m_lastSeen
+                                 && m_returnCandidate->sequence < announcement.sequence;
+    if (!isSameCandidate) {
+        m_returnCandidate = ReturnCandidate{announcement.life, announcement.sequence, now};
         return false;
     }
-    m_returning->sequence = announcement.sequence;
-    return now - m_returning->since >= m_timeout / ReturnDivisor;
+    m_returnCandidate->sequence = announcement.sequence;
+    return now - m_returnCandidate->since >= m_timeout / ReturnDivisor;
 }
 
-/// Whoever does not tell its start is not of the same make as the server that does, and must not end its service.
-auto BackendAnnouncements::isUnproven(const Announcement &announcement) const -> bool
+/// A server that sends no start time is of another implementation than one that does, and must not replace it.
+auto BackendAnnouncements::lacksStartTime(const Announcement &announcement) const -> bool
 {
     return announcement.life.startedAtMs == 0 && m_current->life.startedAtMs > 0
            && m_current->state != ServingState::Left;
@@ -87,56 +89,55 @@
 
 auto BackendAnnouncements::leave(const BackendLife &life, TimePoint now) -> bool
 {
-    const auto isNamedAlone = life.startedAtMs == 0;
-    const auto left = isNamedAlone ? lastLifeOf(life.instance).value_or(life) : life;
+    const auto hasOnlyName = life.startedAtMs == 0;
+    const auto left = hasOnlyName ? lastLifeOf(life.instance).value_or(life) : life;
     retire(left);
-    keepLast(m_left, left);
+    appendBounded(m_left, left);
     if (!m_current || m_current->life != left || m_current->state == ServingState::Left)
         return false;
-    m_lastHeard = now;
+    m_lastSeen = now;
     m_current->state = ServingState::Left;
     return true;
 }
 
 auto BackendAnnouncements::take(const Announcement &announcement, TimePoint now) -> bool
 {
-    const auto isReturn = isPast(announcement.life) && isBack(announcement, now);
+    const auto isReturn = hasEnded(announcement.life) && isConfirmedReturn(announcement, now);
     if (isReturn)
         std::erase(m_retired, announcement.life);
     if (!isReturn && isOutdated(announcement))
         return false;
-    const auto isNewLife = m_current && !announcement.life.instance.empty()
-                           && m_current->life != announcement.life;
-    if (isNewLife && isUnproven(announcement))
-        throw AnnouncementError(
-                "announcement: '" + announcement.life.instance
-                        + "' does not tell when it started, but '" + m_current->life.instance
-                        + "', which serves here, does",
-                "tell the time of the start, as the backend server of this host does");
-    if (isNewLife) {
+    const auto isNewInstance = m_current && !announcement.life.instance.empty()
+                               && m_current->life != announcement.life;
+    if (isNewInstance && lacksStartTime(announcement))
+        throw AnnouncementError("announcement: '" + announcement.life.instance
+                                        + "' sends no start time, but '" + m_current->life.instance
+                                        + "', which serves here, does",
+                                "send the start time, as the backend server of this host does");
+    if (isNewInstance) {
         retire(m_current->life);
         m_current.reset();
     }
-    const auto isOccupied = m_current && m_current->state != ServingState::Left;
+    const auto hasActiveServer = m_current && m_current->state != ServingState::Left;
     const auto isSame = m_current && m_current->service == announcement.service
                         && m_current->port == announcement.port;
-    if (isOccupied && !isSame)
+    if (hasActiveServer && !isSame)
         throw AnnouncementError(
                 "announcement: this host already has the backend server '" + m_current->service
                         + "' on port " + std::to_string(m_current->port),
                 "stop that one or announce it as left first; a host has one backend server");
     auto next = announcement;
-    next.state = stateThatCounts(announcement.state);
-    const auto isChange = isNewLife || !isSame || m_current->state != next.state
+    next.state = effectiveState(announcement.state);
+    const auto isChange = isNewInstance || !isSame || m_current->state != next.state
                           || m_current->slots != next.slots;
-    m_lastHeard = now;
+    m_lastSeen = now;
     m_current = std::move(next);
     return isChange;
 }
 
 auto BackendAnnouncements::tick(TimePoint now) -> bool
 {
-    if (!m_current || m_current->state == ServingState::Left || now - m_lastHeard < m_timeout)
+    if (!m_current || m_current->state == ServingState::Left || now - m_lastSeen < m_timeout)
         return false;
     m_current->state = ServingState::Left;
     return true;
@@ -148,7 +149,7 @@
     if (!m_current)
         return false;
     const auto before = m_current->state;
-    m_current->state = stateThatCounts(before);
+    m_current->state = effectiveState(before);
     return m_current->state != before;
 }
 
--- a/source/membership/MembershipService.cpp
+++ b/source/membership/MembershipService.cpp
@@ -17,8 +17,8 @@
             std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count());
 }
 
-/// Work should not be placed on such a member any more.
-static auto isGoing(ServingState state) -> bool
+/// Returns whether a member in this state should get no more calls.
+static auto isLeaving(ServingState state) -> bool
 {
     return state == ServingState::Draining || state == ServingState::Left;
 }
@@ -34,7 +34,7 @@
     , m_isRunning(std::make_shared<bool>(false))
     , m_view(std::make_shared<const MembershipView>(m_state.view()))
 {
-    m_viewPacer.didChange(); // Nobody has seen the first view yet.
+    m_viewPacer.didChange(); // The first view has not been published yet.
 }
 
 MembershipService::~MembershipService()
@@ -47,9 +47,9 @@
     m_didChange = std::move(didChange);
 }
 
-auto MembershipService::setAnnotationCallback(AnnotationCallback didHear) -> void
+auto MembershipService::setAnnotationCallback(AnnotationCallback callback) -> void
 {
-    m_didHear = std::move(didHear);
+    m_didReceiveAnnotation = std::move(callback);
 }
 
 auto MembershipService::start() -> void
@@ -76,7 +76,7 @@
         -> void
 {
     m_state.setSelf(monotonicNow(), service, slots, state);
-    if (isGoing(state))
+    if (isLeaving(state))
         m_viewPacer.didChangeUrgently();
     else
         m_viewPacer.didChange();
@@ -138,7 +138,7 @@
         report(it);
 }
 
-/// Changes that place work elsewhere are worth a warning when nobody planned them.
+/// Returns the severity of an event. Unplanned changes that move calls elsewhere are warnings.
 static auto severityOf(MembershipEventKind kind) -> log::Severity
 {
     switch (kind) {
@@ -156,11 +156,11 @@
 auto MembershipService::report(const MembershipEvent &event) -> void
 {
     if (event.kind == MembershipEventKind::Annotation) {
-        if (m_didHear)
-            m_didHear(event.member.node, event.annotation);
+        if (m_didReceiveAnnotation)
+            m_didReceiveAnnotation(event.member.node, event.annotation);
         return;
     }
-    noteChange(event);
+    recordChange(event);
     auto line = log::Line(severityOf(event.kind), "member");
     line.add("change", nameOf(event.kind));
     if (!event.domain.empty()) {
@@ -173,13 +173,13 @@
     line.add("slots", member.slots).add("incarnation", member.incarnation);
 }
 
-/// Members of other domains get no work but in need, so that their changes wait for the pause's end.
-auto MembershipService::noteChange(const MembershipEvent &event) -> void
+/// Members of other domains get calls only as a last resort, so their changes wait for the end of the pause.
+auto MembershipService::recordChange(const MembershipEvent &event) -> void
 {
-    const auto isAtHome = event.member.domain == m_state.self().domain;
-    const auto isGoing =
+    const auto isOwnDomain = event.member.domain == m_state.self().domain;
+    const auto isLeaving =
             event.kind == MembershipEventKind::Draining || event.kind == MembershipEventKind::Left;
-    if (isAtHome && isGoing)
+    if (isOwnDomain && isLeaving)
         m_viewPacer.didChangeUrgently();
     else
         m_viewPacer.didChange();
--- a/source/membership/MessageCodec.cpp
+++ b/source/membership/MessageCodec.cpp
@@ -6,20 +6,21 @@
 #include <stairspur/core/Cbor.h>
 #include <stairspur/membership/Message.h>
 
-// A message is an array: version, kind, sequence, names, self, updates, annotation, target, contacts, digest, statements.
-// Records refer to services and domains by their place in `names`. Empty parts at the end are left out.
+// A message is an array: version, kind, sequence, names, self, updates, annotation, target, contacts, digest,
+// statements. Records refer to services and domains by their index in `names`. Empty parts at the end are omitted.
 namespace stairspur::membership {
 
 using Json = nlohmann::json;
 
 static constexpr auto ProtocolVersion = 1U;
-static constexpr auto NeededParts = std::size_t{5};
+static constexpr auto RequiredParts = std::size_t{5};
 static constexpr auto MaxParts = std::size_t{11};
 static constexpr auto MaxListLength = std::size_t{128};
 static constexpr auto AddressBytes = std::size_t{6};
 static constexpr auto LivenessCount = 3U;
 static constexpr auto StateCount = 4U;
-/// Incarnations start at the clock's milliseconds; a greater one could not be refuted without an overflow.
+/// Incarnations start at the milliseconds of the clock. A greater one than this could not be refuted without an
+/// overflow.
 static constexpr auto MaxIncarnation = std::uint64_t{1} << 53U;
 
 [[noreturn]] static auto fail(const std::string &problem) -> void
@@ -33,7 +34,7 @@
     return Json::binary({bytes.begin(), bytes.end()});
 }
 
-/// The six bytes of an IPv4 address and port, or nothing when `node` is written otherwise.
+/// Returns the six bytes of an IPv4 address and port, or nothing if `node` has another form.
 static auto packAddress(const NodeId &node) -> std::string
 {
     const auto colon = node.rfind(':');
@@ -55,7 +56,7 @@
 static auto unpackAddress(const std::vector<std::uint8_t> &packed) -> NodeId
 {
     if (packed.size() != AddressBytes)
-        fail("an address has not six bytes");
+        fail("an address does not have six bytes");
     const auto address = boost::asio::ip::address_v4({packed[0], packed[1], packed[2], packed[3]});
     const auto port = static_cast<std::uint32_t>(packed[4] << 8U | packed[5]);
     return address.to_string() + ":" + std::to_string(port);
@@ -70,7 +71,7 @@
 static auto readText(const Json &value) -> std::string
 {
     if (!value.is_string() || value.get_ref<const std::string &>().size() > MaxNameBytes)
-        fail("a name is no text of at most 64 bytes");
+        fail("a name is not a text of at most 64 bytes");
     return value.get<std::string>();
 }
 
@@ -114,7 +115,7 @@
     return parts;
 }
 
-/// The names of one message, each written once.
+/// The names of one message. Each is encoded once.
 class NameTable
 {
 public:
@@ -138,7 +139,7 @@
     [[nodiscard]] auto read(const Json &index) const -> const std::string &
     {
         if (m_names.empty())
-            fail("the table of names is empty");
+            fail("the name table is empty");
         return m_names[readNumber(index, m_names.size() - 1)];
     }
 
@@ -170,7 +171,7 @@
     member.liveness = static_cast<Liveness>(flags % LivenessCount);
     member.slots = static_cast<std::uint32_t>(readNumber(parts[6], UINT32_MAX));
     if (member.domain.empty())
-        fail("a record names no failure domain");
+        fail("a record has no failure domain");
     return member;
 }
 
@@ -198,7 +199,7 @@
     message.isWhole = parts[4].get<bool>();
     const auto isBucket = [](char it) { return static_cast<unsigned char>(it) < DigestBuckets; };
     if (!message.filter.empty() && message.filter.size() != FilterBytes)
-        fail("a service filter has not 128 bytes");
+        fail("a service filter does not have 128 bytes");
     if (!std::all_of(message.buckets.begin(), message.buckets.end(), isBucket))
         fail("a bucket number is out of range");
 }
@@ -243,7 +244,7 @@
     auto parts = Json::array({ProtocolVersion, static_cast<unsigned>(message.kind),
                               message.sequence, names.toJson(), self, updates,
                               toBinary(message.annotation), target, contacts, digest, statements});
-    while (parts.size() > NeededParts && isEmptyPart(parts.back()))
+    while (parts.size() > RequiredParts && isEmptyPart(parts.back()))
         parts.erase(parts.size() - 1);
     return toCbor(parts);
 }
@@ -251,7 +252,7 @@
 static auto readMessage(const Json &value) -> Message
 {
     auto parts = readList(value);
-    if (parts.size() < NeededParts || parts.size() > MaxParts)
+    if (parts.size() < RequiredParts || parts.size() > MaxParts)
         fail("it has too many or too few parts");
     if (readNumber(parts[0], UINT32_MAX) != ProtocolVersion)
         fail("it has an unknown protocol version");
@@ -284,31 +285,31 @@
     return message;
 }
 
-/// Kinds that cannot be understood without a part that others do without.
-static auto ensureNeededParts(const Message &message) -> void
+/// Throws MessageError if a message lacks a part that its kind needs.
+static auto ensureRequiredParts(const Message &message) -> void
 {
     if (message.kind == MessageKind::PingRequest && message.target.empty())
-        fail("a ping request names no target");
+        fail("a ping request has no target");
     if (message.kind == MessageKind::Digest && message.hashes.size() != DigestBytes)
-        fail("a digest has not 128 bytes of hashes");
+        fail("a digest does not have 128 bytes of hashes");
     const auto isExchange = message.kind == MessageKind::Digest
                             || message.kind == MessageKind::Records
                             || message.kind == MessageKind::RecordsBack;
     if (isExchange && message.digestDomain.empty())
-        fail("an exchange names no failure domain");
+        fail("an exchange has no failure domain");
 }
 
 auto decode(std::string_view bytes) -> Message
 {
     try {
         auto message = readMessage(fromCbor(bytes));
-        ensureNeededParts(message);
+        ensureRequiredParts(message);
         return message;
     } catch (const MessageError &) {
         throw;
     } catch (const std::exception &) {
-        // The library also throws on lengths that no container could hold.
-        fail("the bytes are not one whole CBOR item");
+        // The library also throws for lengths that no container can hold.
+        fail("the bytes are not a single complete CBOR item");
     }
 }
 
@@ -324,35 +325,35 @@
     return number <= UINT32_MAX ? 5 : 9;
 }
 
-/// Bytes of a record whose names each cost an index of `indexSize` bytes.
+/// Returns the encoded size of a record whose names each need an index of `indexSize` bytes.
 static auto recordSize(const Member &member, std::size_t indexSize) -> std::size_t
 {
-    static constexpr auto HeadBytes = std::size_t{2}; // Of a text.
+    static constexpr auto HeaderBytes = std::size_t{2}; // Header of a text.
     static constexpr auto FlagBytes = std::size_t{1};
     const auto packed = packAddress(member.node);
-    const auto nodeSize = packed.empty() ? member.node.size() + HeadBytes : AddressBytes + 1;
+    const auto nodeSize = packed.empty() ? member.node.size() + HeaderBytes : AddressBytes + 1;
     return 1 + nodeSize + 2 * indexSize + numberSize(member.incarnation)
            + numberSize(member.incarnation - member.start) + FlagBytes + numberSize(member.slots);
 }
 
 auto RecordBudget::take(const Member &member) -> bool
 {
-    static constexpr auto HeadBytes = std::size_t{2};
-    auto fresh = std::vector<std::string>();
+    static constexpr auto HeaderBytes = std::size_t{2};
+    auto newNames = std::vector<std::string>();
     for (const auto &name : {member.service, member.domain}) {
         if (std::find(m_names.begin(), m_names.end(), name) == m_names.end())
-            fresh.push_back(name);
+            newNames.push_back(name);
     }
-    // The names of the sender's record and of the digest may come before these.
+    // The names in the sender's record and in the digest may precede these.
     static constexpr auto NamesWithShortIndex = std::size_t{16};
-    const auto indexSize = m_names.size() + fresh.size() <= NamesWithShortIndex ? 1U : 2U;
+    const auto indexSize = m_names.size() + newNames.size() <= NamesWithShortIndex ? 1U : 2U;
     auto size = recordSize(member, indexSize);
-    for (const auto &it : fresh)
-        size += it.size() + HeadBytes;
-    if (size > m_left)
+    for (const auto &it : newNames)
+        size += it.size() + HeaderBytes;
+    if (size > m_remaining)
         return false;
-    m_left -= size;
-    m_names.insert(m_names.end(), fresh.begin(), fresh.end());
+    m_remaining -= size;
+    m_names.insert(m_names.end(), newNames.begin(), newNames.end());
     return true;
 }
 
--- a/source/membership/ServiceFilter.cpp
+++ b/source/membership/ServiceFilter.cpp
@@ -26,7 +26,7 @@
 {
     if (bytes.size() != Bytes)
         throw InputError("a service filter has " + std::to_string(bytes.size())
-                                 + " bytes in place of 128",
+                                 + " bytes instead of 128",
                          "check that both ends run the same protocol version of stairspur");
 }
 
--- a/source/membership/ViewPacer.cpp
+++ b/source/membership/ViewPacer.cpp
@@ -4,7 +4,7 @@
 
 auto ViewPacer::takeDue(TimePoint now) -> bool
 {
-    const auto isEarly = now < m_mayGoAt;
+    const auto isEarly = now < m_pauseEnd;
     if (!m_hasChanged)
         return false;
     if (isEarly && (!m_isUrgent || m_wasEarly))
@@ -12,7 +12,7 @@
     m_hasChanged = false;
     m_isUrgent = false;
     m_wasEarly = isEarly;
-    m_mayGoAt = now + m_pause;
+    m_pauseEnd = now + m_pause;
     return true;
 }
 
