--- a/include/stairspur/membership/Announcement.h
+++ b/include/stairspur/membership/Announcement.h
@@ -19,13 +19,13 @@
 
 /// One process instance of a backend server, from its start to its end. A server may keep its name over a restart;
 /// then only the start time distinguishes its process instances.
-struct BackendLife
+struct BackendIncarnation
 {
     std::string instance; ///< Name of the server; empty if it has none.
     /// Start in Unix milliseconds by the host's clock; 0 if it was not sent.
     std::uint64_t startedAtMs = 0;
 
-    auto operator==(const BackendLife &) const -> bool = default;
+    auto operator==(const BackendIncarnation &) const -> bool = default;
 };
 
 /// The state of a backend server, which it sends to the node of its host every second.
@@ -37,7 +37,7 @@
     ServingState state = ServingState::Starting;
     std::uint32_t inFlight = 0;        ///< Number of calls that it runs now.
     std::string address = "127.0.0.1"; ///< Address of its HTTP server.
-    BackendLife life{};
+    BackendIncarnation incarnation{};
     /// Increases with each announcement of one process instance; 0 if it was not sent.
     std::uint64_t sequence = 0;
     /// Remaining time after its start in which the server is slow.
--- a/include/stairspur/membership/BackendAnnouncements.h
+++ b/include/stairspur/membership/BackendAnnouncements.h
@@ -31,8 +31,8 @@
     auto take(const Announcement &announcement, TimePoint now) -> bool;
 
     /// Records that a process instance has ended; its late announcements are ignored from then on. Without a start
-    /// time, `life` refers to the latest process instance of that name. Returns whether this changes the own record.
-    auto leave(const BackendLife &life, TimePoint now) -> bool;
+    /// time, `incarnation` refers to the latest process instance of that name. Returns whether this changes the own record.
+    auto leave(const BackendIncarnation &incarnation, TimePoint now) -> bool;
 
     /// Marks the backend server as left when its announcements have ceased. Returns whether this changes the own
     /// record.
@@ -54,11 +54,12 @@
 private:
     [[nodiscard]] auto effectiveState(ServingState announced) const -> ServingState;
     /// Returns whether the process instance has ended or started before another one of the same name.
-    [[nodiscard]] auto hasEnded(const BackendLife &life) const -> bool;
+    [[nodiscard]] auto hasEnded(const BackendIncarnation &incarnation) const -> bool;
     [[nodiscard]] auto isOutdated(const Announcement &announcement) const -> bool;
-    [[nodiscard]] auto lastLifeOf(const std::string &instance) const -> std::optional<BackendLife>;
+    [[nodiscard]] auto lastIncarnationOf(const std::string &instance) const
+            -> std::optional<BackendIncarnation>;
     [[nodiscard]] auto lacksStartTime(const Announcement &announcement) const -> bool;
-    auto retire(const BackendLife &life) -> void;
+    auto retire(const BackendIncarnation &incarnation) -> void;
     /// Returns whether a process instance that counted as ended still announces itself while its successor sends
     /// nothing.
     auto isConfirmedReturn(const Announcement &announcement, TimePoint now) -> bool;
@@ -66,7 +67,7 @@
     /// A process instance that counted as ended and announces itself again.
     struct ReturnCandidate
     {
-        BackendLife life;
+        BackendIncarnation incarnation;
         std::uint64_t sequence = 0;
         TimePoint since;
     };
@@ -76,9 +77,9 @@
     TimePoint m_lastSeen;
     std::optional<Announcement> m_current;
     /// The latest process instances that were replaced or have left.
-    std::deque<BackendLife> m_retired;
+    std::deque<BackendIncarnation> m_retired;
     /// The latest process instances that have announced that they leave.
-    std::deque<BackendLife> m_left;
+    std::deque<BackendIncarnation> m_left;
     std::optional<ReturnCandidate> m_returnCandidate;
 };
 
--- a/include/stairspur/node/NodeAdapter.h
+++ b/include/stairspur/node/NodeAdapter.h
@@ -23,7 +23,7 @@
     /// Takes what the host's backend server says of itself. Throws AnnouncementError.
     std::function<void(const membership::Announcement &)> announce;
     /// A life of the backend server has ended; nothing of it counts from now on.
-    std::function<void(const membership::BackendLife &life)> leave;
+    std::function<void(const membership::BackendIncarnation &life)> leave;
     std::function<bool()> isReady;
     /// What was said of `instance` could not be taken; `error` tells why.
     std::function<void(const std::string &instance, const std::string &error)> didRefuse;
--- a/source/membership/BackendAnnouncements.cpp
+++ b/source/membership/BackendAnnouncements.cpp
@@ -11,50 +11,51 @@
     return m_isDraining && acceptsWork ? ServingState::Draining : announced;
 }
 
-auto BackendAnnouncements::lastLifeOf(const std::string &instance) const
-        -> std::optional<BackendLife>
+auto BackendAnnouncements::lastIncarnationOf(const std::string &instance) const
+        -> std::optional<BackendIncarnation>
 {
-    if (m_current && m_current->life.instance == instance)
-        return m_current->life;
-    const auto hasThisName = [&](const BackendLife &it) { return it.instance == instance; };
+    if (m_current && m_current->incarnation.instance == instance)
+        return m_current->incarnation;
+    const auto hasThisName = [&](const BackendIncarnation &it) { return it.instance == instance; };
     const auto last = std::find_if(m_retired.rbegin(), m_retired.rend(), hasThisName);
     return last == m_retired.rend() ? std::nullopt : std::optional(*last);
 }
 
-auto BackendAnnouncements::hasEnded(const BackendLife &life) const -> bool
+auto BackendAnnouncements::hasEnded(const BackendIncarnation &incarnation) const -> bool
 {
-    if (life.instance.empty())
+    if (incarnation.instance.empty())
         return false;
-    if (std::ranges::find(m_retired, life) != m_retired.end())
+    if (std::ranges::find(m_retired, incarnation) != m_retired.end())
         return true;
-    const auto last = lastLifeOf(life.instance);
-    return last && life.startedAtMs < last->startedAtMs;
+    const auto last = lastIncarnationOf(incarnation.instance);
+    return last && incarnation.startedAtMs < last->startedAtMs;
 }
 
 /// Late announcements belong to a process instance that has ended, or are older than the latest received one.
 auto BackendAnnouncements::isOutdated(const Announcement &announcement) const -> bool
 {
-    if (announcement.life.instance.empty())
+    if (announcement.incarnation.instance.empty())
         return false;
-    const auto isLate = m_current && m_current->life == announcement.life
+    const auto isLate = m_current && m_current->incarnation == announcement.incarnation
                         && announcement.sequence < m_current->sequence;
-    return isLate || hasEnded(announcement.life);
+    return isLate || hasEnded(announcement.incarnation);
 }
 
-static auto appendBounded(std::deque<BackendLife> &instances, const BackendLife &life) -> void
+static auto appendBounded(std::deque<BackendIncarnation> &instances,
+                          const BackendIncarnation &incarnation) -> void
 {
     /// Far more process instances than one host starts while an announcement is in transit.
     static constexpr auto MaxInstances = std::size_t{32};
-    if (life.instance.empty())
+    if (incarnation.instance.empty())
         return;
-    instances.push_back(life);
+    instances.push_back(incarnation);
     if (instances.size() > MaxInstances)
         instances.pop_front();
 }
 
-auto BackendAnnouncements::retire(const BackendLife &life) -> void
+auto BackendAnnouncements::retire(const BackendIncarnation &incarnation) -> void
 {
-    appendBounded(m_retired, life);
+    appendBounded(m_retired, incarnation);
 }
 
 /// A node that has just started may receive a late announcement of an ended process instance after the first one of
@@ -66,14 +67,15 @@
 {
     /// Fraction of the timeout that counts as silence. With three announcements in it, two in a row are needed.
     static constexpr auto ReturnDivisor = 3;
-    const auto hasLeft = std::ranges::find(m_left, announcement.life) != m_left.end();
+    const auto hasLeft = std::ranges::find(m_left, announcement.incarnation) != m_left.end();
     if (hasLeft)
         return false;
-    const auto isSameCandidate = m_returnCandidate && m_returnCandidate->life == announcement.life
+    const auto isSameCandidate = m_returnCandidate
+                                 && m_returnCandidate->incarnation == announcement.incarnation
                                  && m_returnCandidate->since >= m_lastSeen
                                  && m_returnCandidate->sequence < announcement.sequence;
     if (!isSameCandidate) {
-        m_returnCandidate = ReturnCandidate{announcement.life, announcement.sequence, now};
+        m_returnCandidate = ReturnCandidate{announcement.incarnation, announcement.sequence, now};
         return false;
     }
     m_returnCandidate->sequence = announcement.sequence;
@@ -83,17 +85,18 @@
 /// A server that sends no start time is of another implementation than one that does, and must not replace it.
 auto BackendAnnouncements::lacksStartTime(const Announcement &announcement) const -> bool
 {
-    return announcement.life.startedAtMs == 0 && m_current->life.startedAtMs > 0
+    return announcement.incarnation.startedAtMs == 0 && m_current->incarnation.startedAtMs > 0
            && m_current->state != ServingState::Left;
 }
 
-auto BackendAnnouncements::leave(const BackendLife &life, TimePoint now) -> bool
+auto BackendAnnouncements::leave(const BackendIncarnation &incarnation, TimePoint now) -> bool
 {
-    const auto hasOnlyName = life.startedAtMs == 0;
-    const auto left = hasOnlyName ? lastLifeOf(life.instance).value_or(life) : life;
+    const auto hasOnlyName = incarnation.startedAtMs == 0;
+    const auto left = hasOnlyName ? lastIncarnationOf(incarnation.instance).value_or(incarnation)
+                                  : incarnation;
     retire(left);
     appendBounded(m_left, left);
-    if (!m_current || m_current->life != left || m_current->state == ServingState::Left)
+    if (!m_current || m_current->incarnation != left || m_current->state == ServingState::Left)
         return false;
     m_lastSeen = now;
     m_current->state = ServingState::Left;
@@ -102,20 +105,22 @@
 
 auto BackendAnnouncements::take(const Announcement &announcement, TimePoint now) -> bool
 {
-    const auto isReturn = hasEnded(announcement.life) && isConfirmedReturn(announcement, now);
+    const auto isReturn =
+            hasEnded(announcement.incarnation) && isConfirmedReturn(announcement, now);
     if (isReturn)
-        std::erase(m_retired, announcement.life);
+        std::erase(m_retired, announcement.incarnation);
     if (!isReturn && isOutdated(announcement))
         return false;
-    const auto isNewInstance = m_current && !announcement.life.instance.empty()
-                               && m_current->life != announcement.life;
+    const auto isNewInstance = m_current && !announcement.incarnation.instance.empty()
+                               && m_current->incarnation != announcement.incarnation;
     if (isNewInstance && lacksStartTime(announcement))
-        throw AnnouncementError("announcement: '" + announcement.life.instance
-                                        + "' sends no start time, but '" + m_current->life.instance
+        throw AnnouncementError("announcement: '" + announcement.incarnation.instance
+                                        + "' sends no start time, but '"
+                                        + m_current->incarnation.instance
                                         + "', which serves here, does",
                                 "send the start time, as the backend server of this host does");
     if (isNewInstance) {
-        retire(m_current->life);
+        retire(m_current->incarnation);
         m_current.reset();
     }
     const auto hasActiveServer = m_current && m_current->state != ServingState::Left;
--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -214,7 +214,7 @@
 {
     return {
             [this](const membership::Announcement &it) { didAnnounce(it); },
-            [this](const membership::BackendLife &life) { didLeave(life); },
+            [this](const membership::BackendIncarnation &life) { didLeave(life); },
             [this] { return isReady(); },
             [this](const std::string &instance, const std::string &error) {
                 m_refusals.didRefuse(instance, error, monotonicNow());
@@ -242,7 +242,7 @@
 {
     const auto &current = m_announcements.current();
     const auto configuration = *m_board.configuration.read();
-    const auto isKnownLife = current && current->life == announcement.life
+    const auto isKnownLife = current && current->incarnation == announcement.incarnation
                              && current->service == announcement.service;
     if (isKnownLife || !configuration || configuration->findService(announcement.service))
         return;
@@ -253,13 +253,13 @@
 
 auto ControlPlane::didAnnounce(const membership::Announcement &announcement) -> void
 {
-    if (!announcement.life.instance.empty())
+    if (!announcement.incarnation.instance.empty())
         checkService(announcement);
     if (m_announcements.take(announcement, monotonicNow()))
         publishBackend();
 }
 
-auto ControlPlane::didLeave(const membership::BackendLife &life) -> void
+auto ControlPlane::didLeave(const membership::BackendIncarnation &life) -> void
 {
     if (m_announcements.leave(life, monotonicNow()))
         publishBackend();
@@ -272,7 +272,7 @@
     if (!current)
         return;
     m_board.backend.publish({current->service, current->port, current->slots, current->state,
-                             current->address, current->life});
+                             current->address, current->incarnation});
     if (m_handlers.didChangeBackend)
         m_handlers.didChangeBackend();
     m_membership.setSelf(current->service, current->slots, current->state);
@@ -281,8 +281,8 @@
     log::Line(log::Severity::Info, "backend")
             .add("service", current->service)
             .add("port", current->port)
-            .add("instance", current->life.instance)
-            .add("started_at_ms", current->life.startedAtMs)
+            .add("instance", current->incarnation.instance)
+            .add("started_at_ms", current->incarnation.startedAtMs)
             .add("slots", current->slots)
             .add("state", current->state);
 }
--- a/source/node/NodeBoard.h
+++ b/source/node/NodeBoard.h
@@ -26,7 +26,7 @@
     std::uint32_t slots = 0;
     membership::ServingState state = membership::ServingState::Starting;
     std::string address = "127.0.0.1";
-    membership::BackendLife life{};
+    membership::BackendIncarnation life{};
 };
 
 /// Whether its end, or its silence, is planned.
--- a/tests/membership/TestInstances.cpp
+++ b/tests/membership/TestInstances.cpp
@@ -16,7 +16,7 @@
     announcement.port = 9001;
     announcement.slots = 20;
     announcement.state = state;
-    announcement.life.instance = instance;
+    announcement.incarnation.instance = instance;
     announcement.sequence = sequence;
     return announcement;
 }
@@ -26,7 +26,7 @@
     auto announcements = BackendAnnouncements(Second * 8);
     cr_assert(announcements.take(makeAnnouncement("a", 5), Start));
     cr_assert(announcements.take(makeAnnouncement("b", 1), Start), "the same port, another start");
-    cr_assert_eq(announcements.current()->life.instance, "b");
+    cr_assert_eq(announcements.current()->incarnation.instance, "b");
 }
 
 Test(Instances, lateAnnouncementsArePassedOver)
@@ -37,7 +37,7 @@
     cr_assert(announcements.current()->state == ServingState::Draining);
     announcements.take(makeAnnouncement("b", 1), Start);
     cr_assert(!announcements.take(makeAnnouncement("a", 6), Start));
-    cr_assert_eq(announcements.current()->life.instance, "b");
+    cr_assert_eq(announcements.current()->incarnation.instance, "b");
 }
 
 Test(Instances, whoHasLeftDoesNotComeBack)
@@ -78,9 +78,9 @@
     auto sequence = std::uint64_t{8};
     for (auto now = Start + Second; now < Start + Second * 6; now += Second * 3 / 2)
         announcements.take(makeAnnouncement("living", sequence++), now);
-    cr_assert_eq(announcements.current()->life.instance, "living");
+    cr_assert_eq(announcements.current()->incarnation.instance, "living");
     cr_assert(!announcements.take(makeAnnouncement("dead", 91), Start + Second * 7));
-    cr_assert_eq(announcements.current()->life.instance, "living");
+    cr_assert_eq(announcements.current()->incarnation.instance, "living");
 }
 
 Test(Instances, lateAnnouncementsThatComeAtOnceAreNoReturn)
@@ -92,7 +92,7 @@
         cr_assert(!announcements.take(makeAnnouncement("dead", sequence), Start + Second * 2));
     announcements.take(makeAnnouncement("living", 2), Start + Second * 3);
     cr_assert(!announcements.take(makeAnnouncement("dead", 12), Start + Second * 6));
-    cr_assert_eq(announcements.current()->life.instance, "living");
+    cr_assert_eq(announcements.current()->incarnation.instance, "living");
 }
 
 /// The same backend server "a", by the start of its life.
@@ -100,7 +100,7 @@
                    ServingState state = ServingState::Serving) -> Announcement
 {
     auto announcement = makeAnnouncement("a", sequence, state);
-    announcement.life.startedAtMs = startedAtMs;
+    announcement.incarnation.startedAtMs = startedAtMs;
     return announcement;
 }
 
@@ -130,7 +130,7 @@
         it.endOfFirstLife(announcements);
         cr_assert(announcements.take(ofLife(SecondStart, 1), Start + Second * 10), "%s", it.name);
         cr_assert(announcements.isServing(), "%s", it.name);
-        cr_assert_eq(announcements.current()->life.startedAtMs, SecondStart, "%s", it.name);
+        cr_assert_eq(announcements.current()->incarnation.startedAtMs, SecondStart, "%s", it.name);
     }
 }
 
@@ -141,7 +141,7 @@
     cr_assert(!announcements.take(ofLife(FirstStart, 90, ServingState::Draining), Start));
     cr_assert(!announcements.take(makeAnnouncement("a", 91), Start), "no start at all");
     cr_assert(announcements.isServing());
-    cr_assert_eq(announcements.current()->life.startedAtMs, SecondStart);
+    cr_assert_eq(announcements.current()->incarnation.startedAtMs, SecondStart);
     cr_assert_eq(announcements.current()->sequence, 1);
 }
 
@@ -171,11 +171,11 @@
     auto sequence = std::uint64_t{1};
     for (auto now = Start + Second; now < Start + Second * 6; now += Second * 3 / 2)
         announcements.take(ofLife(FirstStart, sequence++), now);
-    cr_assert_eq(announcements.current()->life.startedAtMs, FirstStart);
+    cr_assert_eq(announcements.current()->incarnation.startedAtMs, FirstStart);
     // What the dead one sent before comes late, and a third life starts while the clock is still behind.
     cr_assert(!announcements.take(ofLife(SecondStart, 91), Start + Second * 7));
     cr_assert(announcements.take(ofLife(FirstStart + 1, 1), Start + Second * 8));
-    cr_assert_eq(announcements.current()->life.startedAtMs, FirstStart + 1);
+    cr_assert_eq(announcements.current()->incarnation.startedAtMs, FirstStart + 1);
 }
 
 Test(Lives, whoTellsNoStartDoesNotTakeThePlaceOfOneThatDoes)
@@ -183,7 +183,7 @@
     auto announcements = BackendAnnouncements(Second * 8);
     announcements.take(ofLife(FirstStart, 1), Start);
     cr_assert_throw(announcements.take(makeAnnouncement("stranger", 1), Start), AnnouncementError);
-    cr_assert_eq(announcements.current()->life.instance, "a");
+    cr_assert_eq(announcements.current()->incarnation.instance, "a");
     announcements.tick(Start + Second * 9);
     cr_assert(announcements.take(makeAnnouncement("stranger", 2), Start + Second * 10));
 }
--- a/tests/platform/TestControlApi.cpp
+++ b/tests/platform/TestControlApi.cpp
@@ -18,7 +18,7 @@
 struct Told
 {
     std::vector<membership::Announcement> announcements;
-    std::vector<membership::BackendLife> left;
+    std::vector<membership::BackendIncarnation> left;
     std::vector<std::string> refusals; ///< The instances named in them.
     bool isReady = true;
 
@@ -44,7 +44,7 @@
     cr_assert_eq(answer.status, 200);
     cr_assert_eq(told.announcements.size(), 1);
     const auto &it = told.announcements[0];
-    cr_assert_eq(it.life.instance, "i-1");
+    cr_assert_eq(it.incarnation.instance, "i-1");
     cr_assert_eq(it.service, "maps");
     cr_assert_eq(it.address, "10.1.0.9");
     cr_assert_eq(it.port, 8080);
@@ -59,7 +59,7 @@
     auto told = Told();
     cr_assert_eq(handleAnnouncement(request("DELETE", "/v1/instances/i-1"), told.hooks()).status,
                  200);
-    cr_assert(told.left == std::vector<membership::BackendLife>{{"i-1"}});
+    cr_assert(told.left == std::vector<membership::BackendIncarnation>{{"i-1"}});
 }
 
 Test(ControlApi, whatIsNoHeartbeatIsRefused)
@@ -186,11 +186,11 @@
     handleAnnouncement(request("PUT", "/v1/instances/i-1", std::string(Heartbeat)), told.hooks());
     const auto born = withField("\"seq\":4", "\"seq\":4,\"born\":1700000000000");
     handleAnnouncement(request("PUT", "/v1/instances/i-1", born), told.hooks());
-    cr_assert_eq(told.announcements.at(0).life.startedAtMs, 0);
-    cr_assert_eq(told.announcements.at(1).life.startedAtMs, 1'700'000'000'000);
+    cr_assert_eq(told.announcements.at(0).incarnation.startedAtMs, 0);
+    cr_assert_eq(told.announcements.at(1).incarnation.startedAtMs, 1'700'000'000'000);
     handleAnnouncement(request("DELETE", "/v1/instances/i-1", R"({"born":1700000000000})"),
                        told.hooks());
-    const auto life = membership::BackendLife{"i-1", 1'700'000'000'000};
+    const auto life = membership::BackendIncarnation{"i-1", 1'700'000'000'000};
     cr_assert(told.left == std::vector{life});
     handleAnnouncement(request("DELETE", "/v1/instances/i-1", R"({"born":"now"})"), told.hooks());
     cr_assert_eq(told.left.size(), 1);
