--- a/include/stairspur/membership/Announcement.h
+++ b/include/stairspur/membership/Announcement.h
@@ -41,7 +41,7 @@
     /// Increases with each announcement of one process instance; 0 if it was not sent.
     std::uint64_t sequence = 0;
     /// Remaining time after its start in which the server is slow.
-    Duration coldFor{0};
+    Duration coldRemaining{0};
 
     auto operator==(const Announcement &) const -> bool = default;
 };
--- a/tests/platform/TestControlApi.cpp
+++ b/tests/platform/TestControlApi.cpp
@@ -51,7 +51,7 @@
     cr_assert_eq(it.slots, 168);
     cr_assert_eq(it.sequence, 4);
     cr_assert(it.state == ServingState::Serving);
-    cr_assert(it.coldFor == 500ms);
+    cr_assert(it.coldRemaining == 500ms);
 }
 
 Test(ControlApi, leavingIsPassedOn)
