--- a/include/stairspur/membership/BackendAnnouncements.h
+++ b/include/stairspur/membership/BackendAnnouncements.h
@@ -28,7 +28,7 @@
     /// Applies an announcement. Returns whether it changes the own record (process instance, service, slots or
     /// state). Throws AnnouncementError if another backend server without a name is present; a named server replaces
     /// its predecessor. Late announcements are ignored.
-    auto take(const Announcement &announcement, TimePoint now) -> bool;
+    auto receive(const Announcement &announcement, TimePoint now) -> bool;
 
     /// Records that a process instance has ended; its late announcements are ignored from then on. Without a start
     /// time, `incarnation` refers to the latest process instance of that name. Returns whether this changes the own record.
--- a/source/membership/BackendAnnouncements.cpp
+++ b/source/membership/BackendAnnouncements.cpp
@@ -103,7 +103,7 @@
     return true;
 }
 
-auto BackendAnnouncements::take(const Announcement &announcement, TimePoint now) -> bool
+auto BackendAnnouncements::receive(const Announcement &announcement, TimePoint now) -> bool
 {
     const auto isReturn =
             hasEnded(announcement.incarnation) && isConfirmedReturn(announcement, now);
--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -255,7 +255,7 @@
 {
     if (!announcement.incarnation.instance.empty())
         checkService(announcement);
-    if (m_announcements.take(announcement, monotonicNow()))
+    if (m_announcements.receive(announcement, monotonicNow()))
         publishBackend();
 }
 
--- a/tests/membership/TestAnnouncements.cpp
+++ b/tests/membership/TestAnnouncements.cpp
@@ -57,13 +57,13 @@
     const auto start = TimePoint(100 * Second);
     const auto serving = Announcement{"order-intake", 9001, 110, ServingState::Serving, 0};
     cr_assert(!backend.tick(start));
-    cr_assert(backend.take(serving, start));
-    cr_assert(!backend.take(serving, start + Second), "a heartbeat is no change");
+    cr_assert(backend.receive(serving, start));
+    cr_assert(!backend.receive(serving, start + Second), "a heartbeat is no change");
     cr_assert(!backend.tick(start + 5 * Second));
     cr_assert(backend.tick(start + 6 * Second));
     cr_assert(!backend.tick(start + 7 * Second), "left once");
     cr_assert(backend.current()->state == ServingState::Left);
-    cr_assert(backend.take(serving, start + 8 * Second));
+    cr_assert(backend.receive(serving, start + 8 * Second));
     cr_assert(backend.isServing());
 }
 
@@ -73,11 +73,11 @@
     const auto now = TimePoint(100 * Second);
     auto first = Announcement{"order-intake", 9001, 110, ServingState::Serving, 0};
     const auto second = Announcement{"order-intake", 9002, 110, ServingState::Starting, 0};
-    backend.take(first, now);
-    cr_assert_throw(backend.take(second, now), AnnouncementError);
+    backend.receive(first, now);
+    cr_assert_throw(backend.receive(second, now), AnnouncementError);
     first.state = ServingState::Left;
-    cr_assert(backend.take(first, now));
-    cr_assert(backend.take(second, now));
+    cr_assert(backend.receive(first, now));
+    cr_assert(backend.receive(second, now));
 }
 
 Test(BackendAnnouncements, aDrainingNodeShowsNoBackendServerAsServing)
@@ -86,9 +86,9 @@
     const auto now = TimePoint(100 * Second);
     cr_assert(!backend.drain());
     auto announcement = Announcement{"order-intake", 9001, 110, ServingState::Serving, 0};
-    cr_assert(backend.take(announcement, now));
+    cr_assert(backend.receive(announcement, now));
     cr_assert(backend.current()->state == ServingState::Draining);
     announcement.state = ServingState::Left;
-    cr_assert(backend.take(announcement, now));
+    cr_assert(backend.receive(announcement, now));
     cr_assert(backend.current()->state == ServingState::Left);
 }
--- a/tests/membership/TestInstances.cpp
+++ b/tests/membership/TestInstances.cpp
@@ -24,38 +24,39 @@
 Test(Instances, aNewInstanceTakesThePlaceOfTheOneBefore)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    cr_assert(announcements.take(makeAnnouncement("a", 5), Start));
-    cr_assert(announcements.take(makeAnnouncement("b", 1), Start), "the same port, another start");
+    cr_assert(announcements.receive(makeAnnouncement("a", 5), Start));
+    cr_assert(announcements.receive(makeAnnouncement("b", 1), Start),
+              "the same port, another start");
     cr_assert_eq(announcements.current()->incarnation.instance, "b");
 }
 
 Test(Instances, lateAnnouncementsArePassedOver)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(makeAnnouncement("a", 5, ServingState::Draining), Start);
-    cr_assert(!announcements.take(makeAnnouncement("a", 4), Start));
+    announcements.receive(makeAnnouncement("a", 5, ServingState::Draining), Start);
+    cr_assert(!announcements.receive(makeAnnouncement("a", 4), Start));
     cr_assert(announcements.current()->state == ServingState::Draining);
-    announcements.take(makeAnnouncement("b", 1), Start);
-    cr_assert(!announcements.take(makeAnnouncement("a", 6), Start));
+    announcements.receive(makeAnnouncement("b", 1), Start);
+    cr_assert(!announcements.receive(makeAnnouncement("a", 6), Start));
     cr_assert_eq(announcements.current()->incarnation.instance, "b");
 }
 
 Test(Instances, whoHasLeftDoesNotComeBack)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(makeAnnouncement("a", 5), Start);
+    announcements.receive(makeAnnouncement("a", 5), Start);
     cr_assert(announcements.leave({"a"}, Start));
     cr_assert(!announcements.isServing());
-    cr_assert(!announcements.take(makeAnnouncement("a", 6), Start));
+    cr_assert(!announcements.receive(makeAnnouncement("a", 6), Start));
     cr_assert(!announcements.isServing());
-    cr_assert(announcements.take(makeAnnouncement("b", 1), Start));
+    cr_assert(announcements.receive(makeAnnouncement("b", 1), Start));
     cr_assert(announcements.isServing());
 }
 
 Test(Instances, leavingOfAnotherInstanceChangesNothing)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(makeAnnouncement("b", 1), Start);
+    announcements.receive(makeAnnouncement("b", 1), Start);
     cr_assert(!announcements.leave({"a"}, Start));
     cr_assert(announcements.isServing());
 }
@@ -63,9 +64,9 @@
 Test(Instances, silenceIsTakenBackByTheNextAnnouncement)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(makeAnnouncement("a", 1), Start);
+    announcements.receive(makeAnnouncement("a", 1), Start);
     cr_assert(announcements.tick(Start + Second * 9));
-    cr_assert(announcements.take(makeAnnouncement("a", 2), Start + Second * 10));
+    cr_assert(announcements.receive(makeAnnouncement("a", 2), Start + Second * 10));
     cr_assert(announcements.isServing());
 }
 
@@ -73,25 +74,25 @@
 {
     // The node has started anew: it hears the living one first, then what a cut has held back of the one before it.
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(makeAnnouncement("living", 7), Start);
-    announcements.take(makeAnnouncement("dead", 90), Start + Second);
+    announcements.receive(makeAnnouncement("living", 7), Start);
+    announcements.receive(makeAnnouncement("dead", 90), Start + Second);
     auto sequence = std::uint64_t{8};
     for (auto now = Start + Second; now < Start + Second * 6; now += Second * 3 / 2)
-        announcements.take(makeAnnouncement("living", sequence++), now);
+        announcements.receive(makeAnnouncement("living", sequence++), now);
     cr_assert_eq(announcements.current()->incarnation.instance, "living");
-    cr_assert(!announcements.take(makeAnnouncement("dead", 91), Start + Second * 7));
+    cr_assert(!announcements.receive(makeAnnouncement("dead", 91), Start + Second * 7));
     cr_assert_eq(announcements.current()->incarnation.instance, "living");
 }
 
 Test(Instances, lateAnnouncementsThatComeAtOnceAreNoReturn)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(makeAnnouncement("dead", 5), Start);
-    announcements.take(makeAnnouncement("living", 1), Start + Second);
+    announcements.receive(makeAnnouncement("dead", 5), Start);
+    announcements.receive(makeAnnouncement("living", 1), Start + Second);
     for (auto sequence = std::uint64_t{6}; sequence < 12; ++sequence)
-        cr_assert(!announcements.take(makeAnnouncement("dead", sequence), Start + Second * 2));
-    announcements.take(makeAnnouncement("living", 2), Start + Second * 3);
-    cr_assert(!announcements.take(makeAnnouncement("dead", 12), Start + Second * 6));
+        cr_assert(!announcements.receive(makeAnnouncement("dead", sequence), Start + Second * 2));
+    announcements.receive(makeAnnouncement("living", 2), Start + Second * 3);
+    cr_assert(!announcements.receive(makeAnnouncement("dead", 12), Start + Second * 6));
     cr_assert_eq(announcements.current()->incarnation.instance, "living");
 }
 
@@ -117,7 +118,7 @@
             {"crashed", [](auto &) {}},
             {"silent", [](auto &it) { it.tick(Start + Second * 9); }},
             {"draining",
-             [](auto &it) { it.take(ofLife(FirstStart, 91, ServingState::Draining), Start); }},
+             [](auto &it) { it.receive(ofLife(FirstStart, 91, ServingState::Draining), Start); }},
             {"left",
              [](auto &it) {
                  it.leave({"a", FirstStart}, Start);
@@ -126,9 +127,10 @@
     };
     for (const auto &it : cases) {
         auto announcements = BackendAnnouncements(Second * 8);
-        announcements.take(ofLife(FirstStart, 90), Start);
+        announcements.receive(ofLife(FirstStart, 90), Start);
         it.endOfFirstLife(announcements);
-        cr_assert(announcements.take(ofLife(SecondStart, 1), Start + Second * 10), "%s", it.name);
+        cr_assert(announcements.receive(ofLife(SecondStart, 1), Start + Second * 10), "%s",
+                  it.name);
         cr_assert(announcements.isServing(), "%s", it.name);
         cr_assert_eq(announcements.current()->incarnation.startedAtMs, SecondStart, "%s", it.name);
     }
@@ -137,9 +139,9 @@
 Test(Lives, anEarlierStartIsOutdatedWhateverItsSequence)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(ofLife(SecondStart, 1), Start);
-    cr_assert(!announcements.take(ofLife(FirstStart, 90, ServingState::Draining), Start));
-    cr_assert(!announcements.take(makeAnnouncement("a", 91), Start), "no start at all");
+    announcements.receive(ofLife(SecondStart, 1), Start);
+    cr_assert(!announcements.receive(ofLife(FirstStart, 90, ServingState::Draining), Start));
+    cr_assert(!announcements.receive(makeAnnouncement("a", 91), Start), "no start at all");
     cr_assert(announcements.isServing());
     cr_assert_eq(announcements.current()->incarnation.startedAtMs, SecondStart);
     cr_assert_eq(announcements.current()->sequence, 1);
@@ -148,8 +150,8 @@
 Test(Lives, theLateWordThatAnEarlierLifeLeftChangesNothing)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(ofLife(FirstStart, 90), Start);
-    announcements.take(ofLife(SecondStart, 1), Start + Second);
+    announcements.receive(ofLife(FirstStart, 90), Start);
+    announcements.receive(ofLife(SecondStart, 1), Start + Second);
     cr_assert(!announcements.leave({"a", FirstStart}, Start + Second * 2));
     cr_assert(announcements.isServing());
 }
@@ -157,33 +159,35 @@
 Test(Lives, aLifeThatHasLeftDoesNotComeBack)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(ofLife(SecondStart, 1), Start);
+    announcements.receive(ofLife(SecondStart, 1), Start);
     cr_assert(announcements.leave({"a"}, Start));
     for (auto n = 2; n < 20; ++n)
-        announcements.take(ofLife(SecondStart, static_cast<std::uint64_t>(n)), Start + Second * n);
+        announcements.receive(ofLife(SecondStart, static_cast<std::uint64_t>(n)),
+                              Start + Second * n);
     cr_assert(!announcements.isServing());
 }
 
 Test(Lives, afterTheClockWasSetBackTheLivingOneIsTakenOnceTheOtherIsSilent)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(ofLife(SecondStart, 90), Start);
+    announcements.receive(ofLife(SecondStart, 90), Start);
     auto sequence = std::uint64_t{1};
     for (auto now = Start + Second; now < Start + Second * 6; now += Second * 3 / 2)
-        announcements.take(ofLife(FirstStart, sequence++), now);
+        announcements.receive(ofLife(FirstStart, sequence++), now);
     cr_assert_eq(announcements.current()->incarnation.startedAtMs, FirstStart);
     // What the dead one sent before comes late, and a third life starts while the clock is still behind.
-    cr_assert(!announcements.take(ofLife(SecondStart, 91), Start + Second * 7));
-    cr_assert(announcements.take(ofLife(FirstStart + 1, 1), Start + Second * 8));
+    cr_assert(!announcements.receive(ofLife(SecondStart, 91), Start + Second * 7));
+    cr_assert(announcements.receive(ofLife(FirstStart + 1, 1), Start + Second * 8));
     cr_assert_eq(announcements.current()->incarnation.startedAtMs, FirstStart + 1);
 }
 
 Test(Lives, whoTellsNoStartDoesNotTakeThePlaceOfOneThatDoes)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.take(ofLife(FirstStart, 1), Start);
-    cr_assert_throw(announcements.take(makeAnnouncement("stranger", 1), Start), AnnouncementError);
+    announcements.receive(ofLife(FirstStart, 1), Start);
+    cr_assert_throw(announcements.receive(makeAnnouncement("stranger", 1), Start),
+                    AnnouncementError);
     cr_assert_eq(announcements.current()->incarnation.instance, "a");
     announcements.tick(Start + Second * 9);
-    cr_assert(announcements.take(makeAnnouncement("stranger", 2), Start + Second * 10));
+    cr_assert(announcements.receive(makeAnnouncement("stranger", 2), Start + Second * 10));
 }
