--- a/include/stairspur/keyed/KeyedServiceCode.h
+++ b/include/stairspur/keyed/KeyedServiceCode.h
@@ -155,7 +155,7 @@
     for (const auto &it : m_view->members) {
         if (it.domain != m_settings.domain)
             continue;
-        auto member = PlacementMember{{it.node, it.start}, rackOf(it.node)};
+        auto member = PlacementMember{{it.node, it.startIncarnation}, rackOf(it.node)};
         member.isOfService = it.service == service;
         member.isAlive =
                 it.liveness != membership::Liveness::Dead && !m_reachability.isUnreachable(it.node);
--- a/include/stairspur/membership/Member.h
+++ b/include/stairspur/membership/Member.h
@@ -32,7 +32,7 @@
     std::string domain;
     Incarnation incarnation = 0;
     /// The incarnation with which the node's process started. It changes only when the node restarts.
-    Incarnation start = 0;
+    Incarnation startIncarnation = 0;
     ServingState state = ServingState::Starting;
     std::uint32_t slots = 0;
     Liveness liveness = Liveness::Alive;
--- a/include/stairspur/membership/MemberTable.h
+++ b/include/stairspur/membership/MemberTable.h
@@ -124,7 +124,7 @@
                                                      : MembershipEventKind::Dead;
         if (claim.liveness == Liveness::Suspect)
             return MembershipEventKind::Suspect;
-        if (claim.start > current.start)
+        if (claim.startIncarnation > current.startIncarnation)
             return MembershipEventKind::Restart;
         if (!isPresent(current))
             return MembershipEventKind::Join;
--- a/include/stairspur/membership/MembershipCore.h
+++ b/include/stairspur/membership/MembershipCore.h
@@ -43,8 +43,8 @@
     {
         m_self.node = m_settings.node;
         m_self.domain = m_settings.domain;
-        m_self.incarnation = m_settings.start;
-        m_self.start = m_settings.start;
+        m_self.incarnation = m_settings.startIncarnation;
+        m_self.startIncarnation = m_settings.startIncarnation;
         didChangeSelf();
     }
 
@@ -314,8 +314,8 @@
         if (!Policy::refutes || (!isNewer && !isWorse))
             return;
         m_self.incarnation = claim.incarnation + 1;
-        if (claim.start > m_self.start)
-            m_self.start = m_self.incarnation;
+        if (claim.startIncarnation > m_self.startIncarnation)
+            m_self.startIncarnation = m_self.incarnation;
         ++m_counters.refutations;
         didChangeSelf();
         // The suspicion expires on all nodes at about the same time, so the refutation must not wait for probes.
--- a/include/stairspur/membership/MembershipService.h
+++ b/include/stairspur/membership/MembershipService.h
@@ -83,6 +83,6 @@
 };
 
 /// Returns the milliseconds of the wall clock, used as the incarnation with which a process starts.
-auto startIncarnation() -> Incarnation;
+auto currentStartIncarnation() -> Incarnation;
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/MembershipSettings.h
+++ b/include/stairspur/membership/MembershipSettings.h
@@ -15,7 +15,7 @@
     NodeId node;
     std::string domain;
     /// Start of the process in milliseconds of the wall clock.
-    Incarnation start = 0;
+    Incarnation startIncarnation = 0;
     /// Peers of any domain to join through.
     std::vector<NodeId> seeds;
 
--- a/include/stairspur/membership/RelayExchange.h
+++ b/include/stairspur/membership/RelayExchange.h
@@ -164,7 +164,8 @@
         const auto wasReachable = last == nullptr || last->isReachable;
         if (wasReachable == isReachable)
             return;
-        const auto version = last == nullptr ? m_core.self().start + 1 : last->version + 1;
+        const auto version =
+                last == nullptr ? m_core.self().startIncarnation + 1 : last->version + 1;
         m_core.statements().merge({m_core.self().node, domain, version, isReachable});
     }
 
--- a/source/membership/MembershipService.cpp
+++ b/source/membership/MembershipService.cpp
@@ -10,7 +10,7 @@
 static constexpr auto Topic = "swim";
 static constexpr auto TicksPerPeriod = 10;
 
-auto startIncarnation() -> Incarnation
+auto currentStartIncarnation() -> Incarnation
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     return static_cast<Incarnation>(
--- a/source/membership/MessageCodec.cpp
+++ b/source/membership/MessageCodec.cpp
@@ -153,7 +153,7 @@
                        + static_cast<unsigned>(member.liveness);
     return Json::array({writeNode(member.node), names.write(member.service),
                         names.write(member.domain), member.incarnation,
-                        member.incarnation - member.start, flags, member.slots});
+                        member.incarnation - member.startIncarnation, flags, member.slots});
 }
 
 static auto readMember(const Json &value, const NameTable &names) -> Member
@@ -165,7 +165,7 @@
     member.service = names.read(parts[1]);
     member.domain = names.read(parts[2]);
     member.incarnation = readNumber(parts[3], MaxIncarnation);
-    member.start = member.incarnation - readNumber(parts[4], member.incarnation);
+    member.startIncarnation = member.incarnation - readNumber(parts[4], member.incarnation);
     const auto flags = readNumber(parts[5], StateCount * LivenessCount - 1);
     member.state = static_cast<ServingState>(flags / LivenessCount);
     member.liveness = static_cast<Liveness>(flags % LivenessCount);
@@ -333,7 +333,8 @@
     const auto packed = packAddress(member.node);
     const auto nodeSize = packed.empty() ? member.node.size() + HeaderBytes : AddressBytes + 1;
     return 1 + nodeSize + 2 * indexSize + numberSize(member.incarnation)
-           + numberSize(member.incarnation - member.start) + FlagBytes + numberSize(member.slots);
+           + numberSize(member.incarnation - member.startIncarnation) + FlagBytes
+           + numberSize(member.slots);
 }
 
 auto RecordBudget::take(const Member &member) -> bool
--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -59,7 +59,7 @@
     auto membership = membership::MembershipSettings();
     membership.node = settings.nodeId();
     membership.domain = settings.failureDomain;
-    membership.start = start;
+    membership.startIncarnation = start;
     membership.seeds = settings.seeds;
     membership.period = settings.protocolPeriod;
     membership.quickPeriods = QuickPeriods;
--- a/source/node/Node.cpp
+++ b/source/node/Node.cpp
@@ -51,7 +51,7 @@
 Node::Node(const NodeSettings &settings, const NodeAdapter &adapter)
     : m_settings(settings)
     , m_adapter(adapter)
-    , m_start(membership::startIncarnation())
+    , m_start(membership::currentStartIncarnation())
     , m_entryPeers(m_entryThread.io(), peerSettings(settings))
     , m_peerServer(m_gateThread.io(), settings.hostAddress, settings.peerPort,
                    peerSettings(settings))
--- a/source/node/NodeBoard.h
+++ b/source/node/NodeBoard.h
@@ -58,7 +58,7 @@
     auto nodes = std::vector<quota::StartedNode>();
     for (const auto &it : view.members) {
         if (it.liveness != membership::Liveness::Dead && it.state != membership::ServingState::Left)
-            nodes.push_back({it.node, it.start});
+            nodes.push_back({it.node, it.startIncarnation});
     }
     return nodes;
 }
--- a/source/node/ServiceRouteTable.cpp
+++ b/source/node/ServiceRouteTable.cpp
@@ -68,7 +68,7 @@
         if (it.service != routes.service || it.liveness == membership::Liveness::Dead || !mayServe)
             continue;
         const auto isDraining = it.state == membership::ServingState::Draining;
-        upstreams.push_back({it.node, it.domain, it.start, it.slots, isDraining});
+        upstreams.push_back({it.node, it.domain, it.startIncarnation, it.slots, isDraining});
     }
     routes.pool.setUpstreams(upstreams, monotonicNow());
 }
--- a/tests/keyed/KeyedBench.h
+++ b/tests/keyed/KeyedBench.h
@@ -100,7 +100,7 @@
         configuration->configuration.services = {config::Service{"order-intake", {}, false}};
         for (const auto *id : {"10.0.1.1:7100", "10.0.2.1:7100", "10.0.3.1:7100"}) {
             auto member = membership::Member{id, "order-intake", "centre", 5};
-            member.start = 5;
+            member.startIncarnation = 5;
             member.state = membership::ServingState::Serving;
             view->members.push_back(member);
         }
--- a/tests/measure/capacity/State.cpp
+++ b/tests/measure/capacity/State.cpp
@@ -33,7 +33,7 @@
     member.service = serviceName(index % Services);
     member.domain = "failure-domain-" + std::to_string(index % Domains);
     member.incarnation = 1'700'000'000'000;
-    member.start = member.incarnation;
+    member.startIncarnation = member.incarnation;
     member.state = ServingState::Serving;
     member.slots = 100;
     return member;
--- a/tests/measure/membership/main.cpp
+++ b/tests/measure/membership/main.cpp
@@ -35,7 +35,7 @@
     auto settings = MembershipSettings();
     settings.node = idOf(domain, index);
     settings.domain = "domain-" + std::to_string(domain);
-    settings.start = 1'700'000'000'000;
+    settings.startIncarnation = 1'700'000'000'000;
     settings.seeds = {idOf(domain, 0), idOf(domain, 1), idOf(0, 0)};
     auto &state = network.start(settings);
     state.setAnnotation(std::string(24, 'a'));
--- a/tests/membership/FaultMatrix.h
+++ b/tests/membership/FaultMatrix.h
@@ -91,7 +91,7 @@
         auto settings = MembershipSettings();
         settings.node = node;
         settings.domain = domain;
-        settings.start = start;
+        settings.startIncarnation = start;
         settings.seeds = {id(1), id(HomeNodes), other(1)};
         auto &state = m_network.start(settings);
         state.setServicesOfInterest({"booking", "quote"});
--- a/tests/membership/TestMembershipState.cpp
+++ b/tests/membership/TestMembershipState.cpp
@@ -14,7 +14,7 @@
     auto settings = MembershipSettings();
     settings.node = "192.0.2." + std::to_string(index) + ":7100";
     settings.domain = "lekki";
-    settings.start = 1'700'000'000'000;
+    settings.startIncarnation = 1'700'000'000'000;
     settings.seeds = {"192.0.2.1:7100", "192.0.2.2:7100"};
     return settings;
 }
