--- a/include/stairspur/membership/MembershipCore.h
+++ b/include/stairspur/membership/MembershipCore.h
@@ -135,7 +135,7 @@
         const auto isDeathClaim =
                 claim.liveness == Liveness::Dead && claim.state != ServingState::Left;
         const auto isOwnDomain = claim.domain == m_self.domain && claim.node != m_self.node;
-        if (Policy::doubtsVerdicts && isDeathClaim && isOwnDomain)
+        if (Policy::verifiesDeathClaims && isDeathClaim && isOwnDomain)
             addDisputed(claim);
         else
             applyOwn(claim);
@@ -199,7 +199,7 @@
         const auto *receiver = m_table.find(to);
         const auto isPeer = receiver != nullptr && receiver->domain == m_self.domain;
         auto budget = RecordBudget(OwnUpdateBytes);
-        if (Policy::tellsSuspects && receiver != nullptr && receiver->liveness != Liveness::Alive
+        if (Policy::notifiesSuspects && receiver != nullptr && receiver->liveness != Liveness::Alive
             && budget.take(*receiver))
             message.updates.push_back(*receiver);
         if (isPeer && mayCarryUpdates(message.kind)) {
@@ -301,7 +301,7 @@
     {
         const auto isLeaving =
                 member.state == ServingState::Draining || member.state == ServingState::Left;
-        if (Policy::spreadsUrgently && isLeaving && member.domain == m_self.domain)
+        if (Policy::sendsUrgentUpdates && isLeaving && member.domain == m_self.domain)
             m_urgent.push_back(member);
     }
 
--- a/include/stairspur/membership/MembershipPolicy.h
+++ b/include/stairspur/membership/MembershipPolicy.h
@@ -23,7 +23,7 @@
         Policy::matchesSequences
     } -> std::convertible_to<bool>;
     {
-        Policy::tellsSuspects
+        Policy::notifiesSuspects
     } -> std::convertible_to<bool>;
     {
         Policy::probesDead
@@ -32,13 +32,13 @@
         Policy::exchangesDigests
     } -> std::convertible_to<bool>;
     {
-        Policy::doubtsVerdicts
+        Policy::verifiesDeathClaims
     } -> std::convertible_to<bool>;
     {
-        Policy::noticesPauses
+        Policy::detectsPauses
     } -> std::convertible_to<bool>;
     {
-        Policy::spreadsUrgently
+        Policy::sendsUrgentUpdates
     } -> std::convertible_to<bool>;
     {
         Policy::boundsRetransmission
@@ -47,7 +47,7 @@
         Policy::keepsUnreachableDomains
     } -> std::convertible_to<bool>;
     {
-        Policy::checksStatedDomains
+        Policy::checksRecordDomains
     } -> std::convertible_to<bool>;
 };
 
@@ -65,23 +65,23 @@
     /// An answer is accepted only for the probe that it belongs to.
     static constexpr auto matchesSequences = true;
     /// A member that is suspected or declared dead is sent this claim.
-    static constexpr auto tellsSuspects = true;
+    static constexpr auto notifiesSuspects = true;
     /// Dead members are probed, so that two halves of a partition merge again after it heals.
     static constexpr auto probesDead = true;
     /// Digest exchanges repair updates that gossip lost.
     static constexpr auto exchangesDigests = true;
     /// A member is declared dead only by this node's own suspicion timer.
-    static constexpr auto doubtsVerdicts = true;
+    static constexpr auto verifiesDeathClaims = true;
     /// A pause of this process does not count as a failure of other nodes.
-    static constexpr auto noticesPauses = true;
+    static constexpr auto detectsPauses = true;
     /// Draining and leaving are sent without waiting for probes.
-    static constexpr auto spreadsUrgently = true;
+    static constexpr auto sendsUrgentUpdates = true;
     /// An update leaves the queue after lambda log N sends.
     static constexpr auto boundsRetransmission = true;
     /// Members of an unreachable domain are kept, since a partition does not mean that they are dead.
     static constexpr auto keepsUnreachableDomains = true;
     /// Records of a domain's members are accepted only from nodes of that domain.
-    static constexpr auto checksStatedDomains = true;
+    static constexpr auto checksRecordDomains = true;
 };
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/MembershipState.h
+++ b/include/stairspur/membership/MembershipState.h
@@ -167,7 +167,7 @@
         if (gap < m_core.settings().period * PausePeriods)
             return;
         m_nextPeriod = std::max(m_nextPeriod, now);
-        if (!Policy::noticesPauses)
+        if (!Policy::detectsPauses)
             return;
         ++m_core.counters().pauses;
         m_detector.didPause(gap);
@@ -206,7 +206,7 @@
         if (!isPeer)
             m_relays.didHear(from, message);
         // A node that was declared dead is back: its records may be those of the other half of a healed partition.
-        if (Policy::tellsSuspects && wasAbsent && isPresent(message.self))
+        if (Policy::notifiesSuspects && wasAbsent && isPresent(message.self))
             m_exchange.hurry(m_core.self().domain, from);
         if (!message.annotation.empty())
             m_core.emitAnnotation(from, message.annotation);
@@ -233,7 +233,7 @@
     auto withoutRejected(const Message &message, bool isPeer) -> Message
     {
         auto accepted = message;
-        if (isPeer || !Policy::checksStatedDomains)
+        if (isPeer || !Policy::checksRecordDomains)
             return accepted;
         const auto isForeign = [&](const Member &it) {
             return it.domain != message.self.domain && it.node != m_core.self().node;
--- a/tests/membership/TestMutants.cpp
+++ b/tests/membership/TestMutants.cpp
@@ -12,15 +12,15 @@
 struct NoSuspicion : StandardPolicy { static constexpr auto suspectsBeforeDeath = false; };
 struct NoIndirectProbes : StandardPolicy { static constexpr auto probesIndirectly = false; };
 struct NoSequences : StandardPolicy { static constexpr auto matchesSequences = false; };
-struct NoWordToSuspects : StandardPolicy { static constexpr auto tellsSuspects = false; };
+struct NoWordToSuspects : StandardPolicy { static constexpr auto notifiesSuspects = false; };
 struct NoProbesOfDead : StandardPolicy { static constexpr auto probesDead = false; };
 struct NoDigests : StandardPolicy { static constexpr auto exchangesDigests = false; };
-struct NoDoubt : StandardPolicy { static constexpr auto doubtsVerdicts = false; };
-struct NoPauseNoticed : StandardPolicy { static constexpr auto noticesPauses = false; };
-struct NoUrgency : StandardPolicy { static constexpr auto spreadsUrgently = false; };
+struct NoDoubt : StandardPolicy { static constexpr auto verifiesDeathClaims = false; };
+struct NoPauseNoticed : StandardPolicy { static constexpr auto detectsPauses = false; };
+struct NoUrgency : StandardPolicy { static constexpr auto sendsUrgentUpdates = false; };
 struct NoRetransmissionBound : StandardPolicy { static constexpr auto boundsRetransmission = false; };
 struct NoPatienceWithDomains : StandardPolicy { static constexpr auto keepsUnreachableDomains = false; };
-struct NoDomainCheck : StandardPolicy { static constexpr auto checksStatedDomains = false; };
+struct NoDomainCheck : StandardPolicy { static constexpr auto checksRecordDomains = false; };
 // clang-format on
 
 static constexpr auto Seeds = {11U, 12U, 13U};
@@ -51,16 +51,16 @@
             {"suspectsBeforeDeath", isCaught<NoSuspicion>(Fault::Loss20, Step::Probe)},
             {"probesIndirectly", isCaught<NoIndirectProbes>(Fault::CutPairBothWays, Step::Probe)},
             {"matchesSequences", isCaught<NoSequences>(Fault::KillWithLateDuplicates, Step::Probe)},
-            {"tellsSuspects", isCaught<NoWordToSuspects>(Fault::Split, Step::Probe)},
+            {"notifiesSuspects", isCaught<NoWordToSuspects>(Fault::Split, Step::Probe)},
             {"probesDead", isCaught<NoProbesOfDead>(Fault::Split, Step::Probe)},
             {"exchangesDigests", isCaught<NoDigests>(Fault::None, Step::Join)},
-            {"doubtsVerdicts", isCaught<NoDoubt>(Fault::CutOneWay, Step::Probe)},
-            {"noticesPauses", isCaught<NoPauseNoticed>(Fault::PauseLong, Step::Suspect)},
-            {"spreadsUrgently", isCaught<NoUrgency>(Fault::None, Step::Drain)},
+            {"verifiesDeathClaims", isCaught<NoDoubt>(Fault::CutOneWay, Step::Probe)},
+            {"detectsPauses", isCaught<NoPauseNoticed>(Fault::PauseLong, Step::Suspect)},
+            {"sendsUrgentUpdates", isCaught<NoUrgency>(Fault::None, Step::Drain)},
             {"boundsRetransmission", isCaught<NoRetransmissionBound>(Fault::None, Step::Announce)},
             {"keepsUnreachableDomains",
              isCaught<NoPatienceWithDomains>(Fault::SplitDomains, Step::Probe)},
-            {"checksStatedDomains", isCaught<NoDomainCheck>(Fault::None, Step::ForeignClaim)},
+            {"checksRecordDomains", isCaught<NoDomainCheck>(Fault::None, Step::ForeignClaim)},
     };
     for (const auto &it : cases)
         cr_expect(it.isCaught, "the matrix does not notice that %s is off", it.name);
