--- a/include/stairspur/membership/RendezvousSlots.h
+++ b/include/stairspur/membership/RendezvousSlots.h
@@ -48,7 +48,7 @@
 struct StandardRendezvousPolicy
 {
     /// A holder that could not renew its lease in time no longer holds the slot.
-    static constexpr auto noticesLapse = true;
+    static constexpr auto detectsLapse = true;
     /// A slot is claimed only if the latest read showed it as free.
     static constexpr auto readsBeforeClaim = true;
     /// The rate of requests to a failing store decreases.
@@ -72,7 +72,7 @@
     /// before the next call.
     auto next(TimePoint now) -> RendezvousAction
     {
-        if (m_isHolding && Policy::noticesLapse && now >= m_leaseEnd)
+        if (m_isHolding && Policy::detectsLapse && now >= m_leaseEnd)
             didLoseSlot(now);
         if (now < m_due)
             return RendezvousAction::None;
--- a/tests/membership/TestRendezvousSlots.cpp
+++ b/tests/membership/TestRendezvousSlots.cpp
@@ -183,7 +183,7 @@
 }
 
 // clang-format off
-struct NoLapse : StandardRendezvousPolicy { static constexpr auto noticesLapse = false; };
+struct NoLapse : StandardRendezvousPolicy { static constexpr auto detectsLapse = false; };
 struct NoLook : StandardRendezvousPolicy { static constexpr auto readsBeforeClaim = false; };
 struct NoBackoff : StandardRendezvousPolicy { static constexpr auto backsOff = false; };
 // clang-format on
