--- a/include/stairspur/membership/FailureDetector.h
+++ b/include/stairspur/membership/FailureDetector.h
@@ -29,7 +29,7 @@
             handleFailedProbe();
         expireForwarded();
         probeOwnSuspects();
-        takeDoubted();
+        takeDisputed();
         if (const auto target = nextTarget())
             probe(*target);
         probeDisputed();
@@ -150,10 +150,10 @@
     }
 
     /// Schedules probes of the members that other nodes declared dead and this node did not; they are probed first.
-    auto takeDoubted() -> void
+    auto takeDisputed() -> void
     {
         static constexpr auto MaxDisputed = std::size_t{64};
-        for (auto &it : m_core.takeDoubted()) {
+        for (auto &it : m_core.takeDisputed()) {
             if (m_disputed.size() < MaxDisputed)
                 m_disputed.insert_or_assign(it.node, it);
         }
--- a/include/stairspur/membership/MembershipCore.h
+++ b/include/stairspur/membership/MembershipCore.h
@@ -128,7 +128,7 @@
     ///
     /// A claim by another node that a member of the own domain is dead is not applied: a node or half of a domain
     /// that was cut off returns with such claims about all other members. The member is probed and sent the claim
-    /// instead; see takeDoubted().
+    /// instead; see takeDisputed().
     auto apply(const Member &claim) -> void
     {
         // A node that leaves publishes its own record as dead; every other death is claimed by other nodes.
@@ -142,7 +142,7 @@
     }
 
     /// Returns and clears the death claims about members whose current record is alive.
-    auto takeDoubted() -> std::vector<Member> { return std::exchange(m_disputed, {}); }
+    auto takeDisputed() -> std::vector<Member> { return std::exchange(m_disputed, {}); }
 
     /// Applies a conclusion of this node itself.
     auto applyOwn(Member claim) -> void
