--- a/include/stairspur/membership/FailureDetector.h
+++ b/include/stairspur/membership/FailureDetector.h
@@ -222,7 +222,7 @@
         claim.liveness = Liveness::Suspect;
         ++m_core.counters().suspicions;
         m_ownSuspects.push_back(target);
-        m_core.applyOwn(std::move(claim));
+        m_core.applyLocal(std::move(claim));
     }
 
     auto declareDead(const NodeId &node) -> void
@@ -233,7 +233,7 @@
         auto claim = *member;
         claim.liveness = Liveness::Dead;
         ++m_core.counters().deaths;
-        m_core.applyOwn(std::move(claim));
+        m_core.applyLocal(std::move(claim));
     }
 
     /// Sends probes to the members that this node suspected, until they refute or are dead, since the first message
--- a/include/stairspur/membership/MembershipCore.h
+++ b/include/stairspur/membership/MembershipCore.h
@@ -138,14 +138,14 @@
         if (Policy::verifiesDeathClaims && isDeathClaim && isOwnDomain)
             addDisputed(claim);
         else
-            applyOwn(claim);
+            applyLocal(claim);
     }
 
     /// Returns and clears the death claims about members whose current record is alive.
     auto takeDisputed() -> std::vector<Member> { return std::exchange(m_disputed, {}); }
 
     /// Applies a conclusion of this node itself.
-    auto applyOwn(Member claim) -> void
+    auto applyLocal(Member claim) -> void
     {
         if (claim.node == m_self.node) {
             refute(claim);
--- a/include/stairspur/membership/RelayExchange.h
+++ b/include/stairspur/membership/RelayExchange.h
@@ -231,7 +231,7 @@
         }
         for (auto &it : missing) {
             it.liveness = Liveness::Dead;
-            m_core.applyOwn(std::move(it));
+            m_core.applyLocal(std::move(it));
         }
     }
 
@@ -244,7 +244,7 @@
         }
         for (auto &it : unreachable) {
             it.liveness = Liveness::Dead;
-            m_core.applyOwn(std::move(it));
+            m_core.applyLocal(std::move(it));
         }
     }
 
