--- a/include/stairspur/membership/MembershipCore.h
+++ b/include/stairspur/membership/MembershipCore.h
@@ -225,7 +225,7 @@
     }
 
     /// Removes the records of members that have been absent for longer than their retention time.
-    auto forgetOld() -> void
+    auto removeExpired() -> void
     {
         auto absent = std::vector<Member>();
         for (const auto &[node, entry] : m_table.entries()) {
@@ -239,7 +239,7 @@
     }
 
     /// Sends the own record again without delay.
-    auto repeatSelf() -> void { queueIfUrgent(m_self); }
+    auto resendSelf() -> void { queueIfUrgent(m_self); }
 
 private:
     auto remove(const NodeId &node) -> void
--- a/include/stairspur/membership/MembershipState.h
+++ b/include/stairspur/membership/MembershipState.h
@@ -183,12 +183,12 @@
         if (m_core.hasLeft()) {
             if (m_leaveRepetitions > 0) {
                 --m_leaveRepetitions;
-                m_core.repeatSelf();
+                m_core.resendSelf();
             }
             return;
         }
         if (++m_periods % PeriodsToForget == 0)
-            m_core.forgetOld();
+            m_core.removeExpired();
         m_detector.beginPeriod();
         m_exchange.beginPeriod();
         m_relays.beginPeriod();
