--- a/include/stairspur/membership/MembershipCore.h
+++ b/include/stairspur/membership/MembershipCore.h
@@ -159,7 +159,7 @@
         if (!event) {
             if (const auto *current = m_table.find(claim.node);
                 current != nullptr && *current == claim)
-                queue.didHearAgain(claim.node, updateSendLimit());
+                queue.didReceiveDuplicate(claim.node, updateSendLimit());
             return;
         }
         queue.push(claim.node);
--- a/include/stairspur/membership/UpdateQueue.h
+++ b/include/stairspur/membership/UpdateQueue.h
@@ -31,7 +31,7 @@
 
     /// Records that another node sent the same record, so that it spreads without this node too. In the second half
     /// of its sends this counts as two sends (rumor mongering with feedback, Demers et al., PODC 1987).
-    auto didHearAgain(const NodeId &node, std::uint32_t sendLimit) -> void
+    auto didReceiveDuplicate(const NodeId &node, std::uint32_t sendLimit) -> void
     {
         static constexpr auto SendsPerDuplicate = 2U;
         const auto it = m_sendCounts.find(node);
