--- a/include/stairspur/membership/MembershipState.h
+++ b/include/stairspur/membership/MembershipState.h
@@ -204,7 +204,7 @@
         const auto wasAbsent = isPeer && current != nullptr && !isPresent(*current);
         m_core.apply(message.self);
         if (!isPeer)
-            m_relays.didHear(from, message);
+            m_relays.didReceive(from, message);
         // A node that was declared dead is back: its records may be those of the other half of a healed partition.
         if (Policy::notifiesSuspects && wasAbsent && isPresent(message.self))
             m_exchange.hurry(m_core.self().domain, from);
--- a/include/stairspur/membership/RelayExchange.h
+++ b/include/stairspur/membership/RelayExchange.h
@@ -51,7 +51,7 @@
     }
 
     /// Records that a message of a node of another domain was received.
-    auto didHear(const NodeId &from, const Message &message) -> void
+    auto didReceive(const NodeId &from, const Message &message) -> void
     {
         auto &contact = m_contacts[message.self.domain];
         contact.lastSeen = m_core.now();
