--- a/include/stairspur/membership/MembershipState.h
+++ b/include/stairspur/membership/MembershipState.h
@@ -285,7 +285,7 @@
                 m_core.send(peer, std::move(message));
             }
             if (it.state == ServingState::Draining || it.state == ServingState::Left)
-                m_relays.tellOthers(it);
+                m_relays.sendToOtherDomains(it);
         }
     }
 
--- a/include/stairspur/membership/RelayExchange.h
+++ b/include/stairspur/membership/RelayExchange.h
@@ -80,7 +80,7 @@
     }
 
     /// Notifies the other domains that call this member's service that it drains or leaves.
-    auto tellOthers(const Member &member) -> void
+    auto sendToOtherDomains(const Member &member) -> void
     {
         const auto &relays = m_core.table().relaysOf(m_core.self().domain);
         if (std::find(relays.begin(), relays.end(), m_core.self().node) == relays.end())
