--- a/include/stairspur/membership/DigestExchange.h
+++ b/include/stairspur/membership/DigestExchange.h
@@ -25,7 +25,7 @@
     {}
 
     /// Schedules a comparison of `domain` for the next period, with `peer` or, if it is empty, with a random peer.
-    auto hurry(const std::string &domain, const NodeId &peer = {}) -> void
+    auto scheduleExchange(const std::string &domain, const NodeId &peer = {}) -> void
     {
         const auto isSame = [&](const ScheduledExchange &it) { return it.domain == domain; };
         if (std::none_of(m_scheduled.begin(), m_scheduled.end(), isSame))
@@ -99,7 +99,7 @@
         ++m_core.counters().unequalExchanges;
         if (records.self.domain != m_core.self().domain)
             return;
-        hurry(records.digestDomain);
+        scheduleExchange(records.digestDomain);
         auto answer = Message();
         answer.kind = MessageKind::RecordsBack;
         answer.sequence = records.sequence;
@@ -128,7 +128,7 @@
                 != m_recordedDomains.end())
                 continue;
             m_recordedDomains.push_back(it);
-            hurry(it);
+            scheduleExchange(it);
         }
     }
 
--- a/include/stairspur/membership/MembershipState.h
+++ b/include/stairspur/membership/MembershipState.h
@@ -172,7 +172,7 @@
         ++m_core.counters().pauses;
         m_detector.didPause(gap);
         m_relays.didPause(gap);
-        m_exchange.hurry(m_core.self().domain);
+        m_exchange.scheduleExchange(m_core.self().domain);
         m_core.emit(MembershipEventKind::Paused, m_core.self());
     }
 
@@ -207,7 +207,7 @@
             m_relays.didReceive(from, message);
         // A node that was declared dead is back: its records may be those of the other half of a healed partition.
         if (Policy::notifiesSuspects && wasAbsent && isPresent(message.self))
-            m_exchange.hurry(m_core.self().domain, from);
+            m_exchange.scheduleExchange(m_core.self().domain, from);
         if (!message.annotation.empty())
             m_core.emitAnnotation(from, message.annotation);
         const auto accepted = withoutRejected(message, isPeer);
