--- a/include/stairspur/membership/Message.h
+++ b/include/stairspur/membership/Message.h
@@ -81,7 +81,7 @@
 
     /// Returns whether `member` fits into the budget, and subtracts its bytes if so.
     auto take(const Member &member) -> bool;
-    [[nodiscard]] auto left() const -> std::size_t { return m_remaining; }
+    [[nodiscard]] auto remaining() const -> std::size_t { return m_remaining; }
 
 private:
     std::size_t m_remaining;
