--- a/include/stairspur/membership/DigestExchange.h
+++ b/include/stairspur/membership/DigestExchange.h
@@ -187,16 +187,16 @@
             auto attempt = budget;
             const auto &members = sorted[buckets[next]];
             const auto fits = [&](const Member *it) { return attempt.take(*it); };
-            const auto isWhole = std::all_of(members.begin(), members.end(), fits);
-            if (!isWhole && next > first)
+            const auto isComplete = std::all_of(members.begin(), members.end(), fits);
+            if (!isComplete && next > first)
                 return next;
             for (const auto *it : members) {
                 if (budget.take(*it))
                     datagram.updates.push_back(*it);
             }
             datagram.buckets.push_back(static_cast<char>(buckets[next]));
-            datagram.isWhole = isWhole;
-            if (!isWhole)
+            datagram.isComplete = isComplete;
+            if (!isComplete)
                 return next + 1;
         }
         return next;
--- a/include/stairspur/membership/Message.h
+++ b/include/stairspur/membership/Message.h
@@ -59,7 +59,7 @@
     std::string hashes;           ///< DigestBytes bytes in a Digest.
     std::string buckets;          ///< Numbers of the buckets in this datagram of Records.
     /// In Records: whether the datagram contains all records of its buckets.
-    bool isWhole = true;
+    bool isComplete = true;
     std::vector<ContactStatement> statements;
 
     auto operator==(const Message &) const -> bool = default;
--- a/include/stairspur/membership/RelayExchange.h
+++ b/include/stairspur/membership/RelayExchange.h
@@ -75,7 +75,7 @@
             return;
         if (!records.buckets.empty())
             m_contacts[domain].periodsToNext = 1;
-        if (records.isWhole)
+        if (records.isComplete)
             declareMissingDead(records);
     }
 
--- a/source/membership/MessageCodec.cpp
+++ b/source/membership/MessageCodec.cpp
@@ -180,7 +180,7 @@
     if (message.digestDomain.empty())
         return nullptr;
     return Json::array({names.write(message.digestDomain), toBinary(message.filter),
-                        toBinary(message.hashes), toBinary(message.buckets), message.isWhole});
+                        toBinary(message.hashes), toBinary(message.buckets), message.isComplete});
 }
 
 static auto readDigest(const Json &value, const NameTable &names, Message &message) -> void
@@ -196,7 +196,7 @@
     message.buckets = readBytes(parts[3], DigestBuckets);
     if (!parts[4].is_boolean())
         fail("a flag is missing");
-    message.isWhole = parts[4].get<bool>();
+    message.isComplete = parts[4].get<bool>();
     const auto isBucket = [](char it) { return static_cast<unsigned char>(it) < DigestBuckets; };
     if (!message.filter.empty() && message.filter.size() != FilterBytes)
         fail("a service filter does not have 128 bytes");
--- a/tests/membership/TestMessageCodec.cpp
+++ b/tests/membership/TestMessageCodec.cpp
@@ -34,7 +34,7 @@
     message.filter = ServiceFilter(std::set<std::string>{"order-intake"}).bytes();
     message.hashes = std::string(DigestBytes, 'h');
     message.buckets = std::string("\0\x3f", 2);
-    message.isWhole = false;
+    message.isComplete = false;
     message.statements = {{"192.0.2.8:7100", "domzale", 3, false}};
     return message;
 }
