--- a/include/stairspur/membership/DigestExchange.h
+++ b/include/stairspur/membership/DigestExchange.h
@@ -117,7 +117,7 @@
 
     [[nodiscard]] auto maxAllowance() const -> std::uint32_t
     {
-        return 2 * m_core.settings().exchangeDatagrams;
+        return 2 * m_core.settings().maxExchangeDatagrams;
     }
 
     /// Schedules a comparison for each domain that is new to this node.
@@ -164,7 +164,7 @@
         const auto sorted = recordsByBucket(answer.digestDomain, filter);
         auto sent = std::uint32_t{0};
         auto next = std::size_t{0};
-        while (next < buckets.size() && sent < m_core.settings().exchangeDatagrams
+        while (next < buckets.size() && sent < m_core.settings().maxExchangeDatagrams
                && m_allowance > 0) {
             auto datagram = answer;
             next = fill(datagram, sorted, buckets, next);
--- a/include/stairspur/membership/MemberTable.h
+++ b/include/stairspur/membership/MemberTable.h
@@ -39,7 +39,7 @@
         : m_node(settings.node)
         , m_domain(settings.domain)
         , m_maxMembers(settings.maxMembers)
-        , m_relayCount(settings.relays)
+        , m_relayCount(settings.relaysPerDomain)
     {}
 
     [[nodiscard]] auto entries() const -> const Entries & { return m_entries; }
--- a/include/stairspur/membership/MembershipSettings.h
+++ b/include/stairspur/membership/MembershipSettings.h
@@ -37,17 +37,17 @@
     /// Number of peers to which a draining or leaving member is sent without delay.
     std::uint32_t urgentFanOut = 4;
     /// Maximum number of such updates forwarded in one period.
-    std::uint32_t urgentPerPeriod = 8;
+    std::uint32_t maxUrgentPerPeriod = 8;
     /// Periods between two probes of a dead member or of a seed that never answered.
     std::uint32_t repairPeriods = 10;
     /// Periods between two digest exchanges with a random peer.
     std::uint32_t exchangePeriods = 30;
     /// Maximum number of datagrams in reply to one digest.
-    std::uint32_t exchangeDatagrams = 4;
+    std::uint32_t maxExchangeDatagrams = 4;
     std::uint32_t maxJoinBackoffPeriods = 30;
 
     /// Number of relays of each domain, chosen by rendezvous rank.
-    std::uint32_t relays = 3;
+    std::uint32_t relaysPerDomain = 3;
     /// Periods between two exchanges of one relay with one other domain.
     std::uint32_t relayPeriods = 10;
     /// Periods without a message from another domain after which contact with it counts as lost.
@@ -62,7 +62,7 @@
     /// Leaves room for the envelope in a datagram of 1400 bytes.
     std::uint32_t maxPayloadBytes = 1200;
     /// Minimum time between two views while members keep changing; see ViewPacer.
-    Duration viewPause{1'000'000};
+    Duration minViewInterval{1'000'000};
 };
 
 } // namespace stairspur::membership
--- a/include/stairspur/membership/MembershipState.h
+++ b/include/stairspur/membership/MembershipState.h
@@ -179,7 +179,7 @@
     auto beginPeriod() -> void
     {
         static constexpr auto PeriodsToForget = 16;
-        m_remainingUrgent = m_core.settings().urgentPerPeriod;
+        m_remainingUrgent = m_core.settings().maxUrgentPerPeriod;
         if (m_core.hasLeft()) {
             if (m_leaveRepetitions > 0) {
                 --m_leaveRepetitions;
--- a/source/membership/MembershipService.cpp
+++ b/source/membership/MembershipService.cpp
@@ -28,7 +28,7 @@
                                      MembershipSettings settings, std::uint64_t seed)
     : m_channel(channel)
     , m_tickInterval(settings.period / TicksPerPeriod)
-    , m_viewPacer(settings.viewPause)
+    , m_viewPacer(settings.minViewInterval)
     , m_state(std::move(settings), seed, monotonicNow())
     , m_timer(io)
     , m_isRunning(std::make_shared<bool>(false))
