--- a/tests/fuzz/membership/main.cpp
+++ b/tests/fuzz/membership/main.cpp
@@ -1,4 +1,4 @@
-// Membership datagrams, after the check of their HMAC.
+// Fuzzes the decoder of membership datagrams, which runs after their HMAC is verified.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
@@ -37,7 +37,7 @@
         if (!(membership::decode(membership::encode(message)) == message))
             __builtin_trap();
     } catch (const membership::MessageError &) {
-        return 0; // The one error that the service expects.
+        return 0; // The service expects this error only.
     }
     return 0;
 }
--- a/tests/measure/membership/main.cpp
+++ b/tests/measure/membership/main.cpp
@@ -1,5 +1,5 @@
-// Measures the membership protocol on a virtual clock: how long detection and spreading take in protocol periods, what
-// it costs in bytes, processor time and memory, against the number of members. Prints tables and slopes.
+// Measures the membership protocol on a virtual clock: the time for detection and spreading in protocol periods, and
+// the cost in bytes, processor time and memory, each against the number of members. Prints tables and slopes.
 #include <malloc.h>
 
 #include <chrono>
@@ -19,7 +19,7 @@
 
 static constexpr auto Period = Duration{1'000'000};
 static constexpr auto Step = Duration{100'000};
-/// IPv4 and UDP headers, and the envelope of a DatagramChannel (topic, sender, HMAC), assumed.
+/// Assumed size of the IPv4 and UDP headers and of the envelope of a DatagramChannel (topic, sender, HMAC).
 static constexpr auto HeaderBytes = 28.0 + 72.0;
 static constexpr auto Sizes = {16, 32, 64, 128};
 static constexpr auto TargetSize = 1077.0;
@@ -47,7 +47,7 @@
                   ServingState::Serving);
 }
 
-/// Periods until `isTrue` holds of every running node; at most `limit`.
+/// Returns the number of periods until `isTrue` holds for every running node, at most `limit`.
 template <typename Predicate>
 static auto periodsUntil(Network &network, double limit, const Predicate &isTrue) -> double
 {
@@ -65,7 +65,7 @@
            / static_cast<double>(Period.count());
 }
 
-/// Bytes on the wire that one node sends in a second, on average over `nodes` of the network.
+/// Bytes and datagrams on the wire that one node sends in a second, on average over the network.
 struct Traffic
 {
     double bytes = 0;
@@ -115,7 +115,7 @@
         const auto id = idOf(0, size - victim);
         auto firstSuspect = -1.0;
         const auto start = network.now();
-        network.didHappen = [&](const NodeId &, const MembershipEvent &event) {
+        network.didEmit = [&](const NodeId &, const MembershipEvent &event) {
             if (event.member.node == id && event.kind == MembershipEventKind::Suspect
                 && firstSuspect < 0)
                 firstSuspect = static_cast<double>((network.now() - start).count()) / 1e6;
@@ -125,13 +125,13 @@
             const auto *member = state.find(id);
             return member == nullptr || !isPresent(*member);
         });
-        network.didHappen = nullptr;
+        network.didEmit = nullptr;
         row.firstSuspect += firstSuspect / Victims;
         row.allDead += all / Victims;
     }
 }
 
-/// Runs until no update waits any more.
+/// Runs until no update is queued.
 static auto ensureQuiet(Network &network) -> void
 {
     static constexpr auto MaxPeriods = 400;
@@ -143,7 +143,7 @@
             return;
         network.run(Period);
     }
-    std::printf("updates still wait after %d periods\n", MaxPeriods);
+    std::printf("updates are still queued after %d periods\n", MaxPeriods);
 }
 
 static auto measureSize(int size) -> Row
@@ -167,9 +167,9 @@
 
     const auto changed = idOf(0, size / 2);
     network.node(changed).state->setSelf(network.now(), "service-1", 77, ServingState::Serving);
-    const auto knows = [&](const auto &state) { return state.find(changed)->slots == 77; };
+    const auto hasChange = [&](const auto &state) { return state.find(changed)->slots == 77; };
     const auto atChange = sentSoFar(network).bytes;
-    row.change = periodsUntil(network, 60, knows);
+    row.change = periodsUntil(network, 60, hasChange);
     const auto rest = 40 - static_cast<int>(row.change);
     network.run(rest * Period);
     const auto extra = sentSoFar(network).bytes - atChange - row.bytes * size * (row.change + rest);
@@ -182,12 +182,12 @@
     const auto seesDraining = [&](const auto &state) {
         return state.find(draining)->state == ServingState::Draining;
     };
-    auto isKnown = false;
-    while (!isKnown && network.now() - start < 20 * Period) {
+    auto isEverywhere = false;
+    while (!isEverywhere && network.now() - start < 20 * Period) {
         network.run(Duration{1'000});
-        isKnown = true;
+        isEverywhere = true;
         for (auto &[id, node] : network.nodes())
-            isKnown = isKnown && seesDraining(*node.state);
+            isEverywhere = isEverywhere && seesDraining(*node.state);
     }
     row.drain = static_cast<double>((network.now() - start).count()) / 1e6;
     network.run(20 * Period);
@@ -195,7 +195,7 @@
     return row;
 }
 
-/// Least squares of y = a + b log2(members).
+/// Least squares fit of y = a + b log2(members).
 struct Line
 {
     double a = 0;
@@ -250,7 +250,7 @@
     printLine("processor us per node and period", rows, &Row::processorMicroseconds);
 }
 
-/// One domain of 24 and twelve of 8: what a relay sends beyond the others.
+/// Measures one domain of 24 nodes and twelve of 8: the bytes that a relay sends in addition to those of other nodes.
 static auto measureRelays() -> void
 {
     static constexpr auto Domains = 13;
@@ -279,12 +279,13 @@
         (isRelay ? relayBytes : otherBytes) += bytes / 60;
     }
     std::printf("13 domains: %d relays send %.0f B/s each, the other %d nodes %.0f B/s; a node "
-                "knows %zu members\n",
+                "has %zu members\n",
                 relays, relayBytes / relays, 24 - relays, otherBytes / (24 - relays),
                 network.node(idOf(0, 0)).state->view().members.size());
 }
 
-/// Two halves that gave each other up: time until all are alive again everywhere, and the greatest rate of bytes.
+/// Measures how two halves that declared each other dead heal: the time until all members are alive everywhere, and
+/// the maximum rate of bytes.
 static auto measureHeal(int size) -> void
 {
     auto network = Network(9);
@@ -295,17 +296,17 @@
     auto isLow = std::map<NodeId, bool>();
     for (auto index = 0; index < size; ++index)
         isLow[idOf(0, index)] = index < size / 2;
-    network.isOpen = [&](const NodeId &a, const NodeId &b) { return isLow[a] == isLow[b]; };
+    network.isConnected = [&](const NodeId &a, const NodeId &b) { return isLow[a] == isLow[b]; };
     network.run(60 * Period);
     auto falseDeaths = 0;
-    network.didHappen = [&](const NodeId &observer, const MembershipEvent &event) {
+    network.didEmit = [&](const NodeId &observer, const MembershipEvent &event) {
         if (event.kind == MembershipEventKind::Dead && isLow[observer] == isLow[event.member.node])
             ++falseDeaths;
     };
-    network.isOpen = [](const NodeId &, const NodeId &) { return true; };
+    network.isConnected = [](const NodeId &, const NodeId &) { return true; };
     auto peak = 0.0;
     auto periods = 0;
-    const auto isWhole = [&](const auto &state) {
+    const auto isComplete = [&](const auto &state) {
         auto alive = 0;
         for (const auto &it : state.view().members)
             alive += it.liveness == Liveness::Alive ? 1 : 0;
@@ -316,7 +317,7 @@
         peak = std::max(peak, sentPerNode(network, 1).bytes);
         isHealed = true;
         for (auto &[id, node] : network.nodes())
-            isHealed = isHealed && isWhole(*node.state);
+            isHealed = isHealed && isComplete(*node.state);
     }
     std::printf("heal of two halves, N = %d: %s after %d periods, at most %.0f B/s per node, %d "
                 "false deaths\n",
--- a/tests/membership/FaultMatrix.h
+++ b/tests/membership/FaultMatrix.h
@@ -6,15 +6,15 @@
 #include "FaultMatrixCells.h"
 #include "VirtualNetwork.h"
 
-/// One cell of the matrix: a step of the protocol, made by one node of a settled system, under one fault.
+/// One cell of the matrix: one node of a settled system performs a step of the protocol under one fault.
 namespace stairspur::membership {
 
-/// Runs cells and collects what was violated.
+/// Runs cells and collects their violations.
 template <typename Policy>
 class FaultMatrix
 {
 public:
-    /// The violations of one cell; none when every invariant held.
+    /// Returns the violations of one cell; none if every invariant held.
     static auto run(Fault fault, Step step, std::uint64_t seed) -> std::vector<std::string>
     {
         auto cell = FaultMatrix(fault, step, seed);
@@ -29,10 +29,10 @@
     static constexpr auto Start = Incarnation{1'700'000'000'000};
     static constexpr auto SettlePeriods = 20;
     static constexpr auto FaultPeriods = 25;
-    /// Until every reachable node knows of a death: a round of probes, the suspicion and the spreading.
+    /// Periods until every reachable node has recorded a death: a round of probes, the suspicion and the spreading.
     static constexpr auto DeathPeriods = 20;
-    static constexpr auto HealPeriods = 45;
-    /// Until every node that can be reached, of other domains too, knows that one drains or leaves.
+    static constexpr auto HealingPeriods = 45;
+    /// Periods until every reachable node, also of other domains, has recorded that a node drains or leaves.
     static constexpr auto LeavingPeriods = 5;
 
     FaultMatrix(Fault fault, Step step, std::uint64_t seed)
@@ -44,7 +44,7 @@
     auto runAll() -> void
     {
         m_network.recordedNode = subjectNode;
-        m_network.didHappen = [this](const auto &observer, const auto &event) {
+        m_network.didEmit = [this](const auto &observer, const auto &event) {
             check(observer, event);
         };
         for (auto index = 1; index <= HomeNodes; ++index) {
@@ -54,7 +54,7 @@
         for (auto index = 1; index <= OtherNodes; ++index)
             startNode(other(index), "apapa", "quote", Start);
         m_network.run(SettlePeriods * Period);
-        m_isWatching = true;
+        m_isChecking = true;
         const auto isFaultOfProcess =
                 m_fault == Fault::Kill || m_fault == Fault::KillWithLateDuplicates
                 || m_fault == Fault::PauseShort || m_fault == Fault::PauseLong
@@ -65,15 +65,15 @@
         if (isFaultOfProcess)
             beginFault();
         m_network.run(Period / 2);
-        checkUrgency(true);
+        checkUrgentUpdates(true);
         m_network.run(LeavingPeriods * Period);
-        checkUrgency(false);
+        checkUrgentUpdates(false);
         checkJoiner();
         m_network.run((DeathPeriods - LeavingPeriods) * Period);
         checkDeath();
         m_network.run((FaultPeriods - DeathPeriods) * Period);
         endFault();
-        m_network.run(HealPeriods * Period);
+        m_network.run(HealingPeriods * Period);
         checkEnd();
     }
 
@@ -142,7 +142,7 @@
             m_network.flush(subjectNode);
     }
 
-    /// Has `from` tell `to` that `about` is suspect or dead.
+    /// Sends `to` a claim of `from` that `about` has the given liveness.
     auto claim(const NodeId &from, const NodeId &to, const NodeId &about, Liveness liveness) -> void
     {
         auto message = Message();
@@ -174,18 +174,18 @@
             subject().isPaused = true;
             break;
         case Fault::CutPairOneWay:
-            m_isOpen = [](const auto &a, const auto &b) {
+            m_isConnected = [](const auto &a, const auto &b) {
                 return a != subjectNode || b != peerNode;
             };
             break;
         case Fault::CutPairBothWays:
-            m_isOpen = [=](const auto &a, const auto &b) { return !isPair(a, b); };
+            m_isConnected = [=](const auto &a, const auto &b) { return !isPair(a, b); };
             break;
         case Fault::CutOneWay:
-            m_isOpen = [](const auto &a, const auto &) { return a != subjectNode; };
+            m_isConnected = [](const auto &a, const auto &) { return a != subjectNode; };
             break;
         case Fault::CutBothWays:
-            m_isOpen = [](const auto &a, const auto &b) {
+            m_isConnected = [](const auto &a, const auto &b) {
                 return a != subjectNode && b != subjectNode;
             };
             break;
@@ -193,31 +193,31 @@
             m_network.nodes()[subjectNode].extraDelay = Period * 4 / 10;
             break;
         case Fault::Duplicate:
-            m_network.duplicateShare = 0.5;
+            m_network.duplicateProbability = 0.5;
             break;
         case Fault::Reorder:
-            m_network.maximumDelay = Period / 10;
+            m_network.maxDelay = Period / 10;
             break;
         case Fault::Loss5:
-            m_network.lossShare = 0.05;
+            m_network.lossProbability = 0.05;
             break;
         case Fault::Loss20:
-            m_network.lossShare = 0.2;
+            m_network.lossProbability = 0.2;
             break;
         case Fault::Split:
-            m_isOpen = [](const auto &a, const auto &b) {
+            m_isConnected = [](const auto &a, const auto &b) {
                 return isLowerHalf(a) == isLowerHalf(b);
             };
             break;
         case Fault::SplitDomains:
-            m_isOpen = [](const auto &a, const auto &b) { return isHome(a) == isHome(b); };
+            m_isConnected = [](const auto &a, const auto &b) { return isHome(a) == isHome(b); };
             break;
         case Fault::None:
             break;
         }
-        // The indirect probe is that of a pair whose direct path is cut, whatever else is at fault.
-        m_network.isOpen = [this, isPair](const auto &a, const auto &b) {
-            return m_isOpen(a, b) && (m_step != Step::IndirectProbe || !isPair(a, b));
+        // The step IndirectProbe always cuts the direct path of the pair, in addition to the fault.
+        m_network.isConnected = [this, isPair](const auto &a, const auto &b) {
+            return m_isConnected(a, b) && (m_step != Step::IndirectProbe || !isPair(a, b));
         };
         if (m_fault == Fault::PauseShort || m_fault == Fault::Restart
             || m_fault == Fault::RestartWithClockBehind) {
@@ -234,11 +234,11 @@
 
     auto endFault() -> void
     {
-        m_isOpen = [](const auto &, const auto &) { return true; };
-        m_network.isOpen = m_isOpen;
-        m_network.lossShare = 0;
-        m_network.duplicateShare = 0;
-        m_network.maximumDelay = Duration{2'000};
+        m_isConnected = [](const auto &, const auto &) { return true; };
+        m_network.isConnected = m_isConnected;
+        m_network.lossProbability = 0;
+        m_network.duplicateProbability = 0;
+        m_network.maxDelay = Duration{2'000};
         m_network.nodes()[subjectNode].extraDelay = Duration{0};
         m_network.isReplaying = false;
         if (subject().isPaused)
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Faults under which every node can still reach every other, directly or through a third.
+    /// Returns whether every node can reach every other under the fault, directly or through a third node.
     [[nodiscard]] auto isGentle() const -> bool
     {
         return m_fault == Fault::None || m_fault == Fault::CutPairOneWay
@@ -262,8 +262,8 @@
                || m_fault == Fault::PauseShort || m_fault == Fault::SplitDomains;
     }
 
-    /// Whether `observer` has a reason to give `member` up at some time of this cell.
-    [[nodiscard]] auto mayDie(const NodeId &observer, const NodeId &member) const -> bool
+    /// Returns whether `observer` may declare `member` dead at some time of this cell.
+    [[nodiscard]] auto mayDeclareDead(const NodeId &observer, const NodeId &member) const -> bool
     {
         if (m_fault == Fault::Split)
             return !isHome(observer) || isLowerHalf(observer) != isLowerHalf(member);
@@ -272,25 +272,26 @@
         return !isGentle() && (member == subjectNode || observer == subjectNode);
     }
 
-    /// What must hold of each single event.
+    /// Checks the invariants of a single event.
     auto check(const NodeId &observer, const MembershipEvent &event) -> void
     {
         const auto &member = event.member;
         if (member.node.empty() || event.kind == MembershipEventKind::Annotation)
             return;
-        auto &greatest = m_network.node(observer).greatestSeen[member.node];
+        auto &greatest = m_network.node(observer).greatestIncarnations[member.node];
         if (event.kind == MembershipEventKind::Forgotten)
             greatest = 0;
         else if (member.incarnation < greatest)
-            violate(observer + " went back to an older incarnation of " + member.node);
+            violate(observer + " returned to an older incarnation of " + member.node);
         else
             greatest = member.incarnation;
-        if (!m_isWatching)
+        if (!m_isChecking)
             return;
         const auto isLeaving = m_hasLeft && member.node == subjectNode;
-        if (event.kind == MembershipEventKind::Dead && !isLeaving && !mayDie(observer, member.node))
-            violate(observer + " gave up " + member.node + " which it could reach");
-        // Nobody else is at fault when one node pauses, or when one path of many is cut.
+        if (event.kind == MembershipEventKind::Dead && !isLeaving
+            && !mayDeclareDead(observer, member.node))
+            violate(observer + " declared " + member.node + " dead although it is reachable");
+        // Other nodes must not be suspected when one node pauses, or when one path of many is cut.
         const auto isOnePath = m_fault == Fault::CutPairBothWays || m_fault == Fault::CutPairOneWay
                                || m_fault == Fault::None;
         const auto isPause = (m_fault == Fault::PauseLong || m_fault == Fault::PauseShort)
@@ -300,7 +301,7 @@
             violate(observer + " suspected " + member.node + " without a reason");
     }
 
-    auto checkUrgency(bool isFirst) -> void
+    auto checkUrgentUpdates(bool isFirst) -> void
     {
         const auto isQuick =
                 m_fault == Fault::None || m_fault == Fault::Duplicate || m_fault == Fault::Reorder;
@@ -310,14 +311,14 @@
         const auto expected = m_step == Step::Drain ? ServingState::Draining : ServingState::Left;
         for (auto &[node, it] : m_network.nodes()) {
             const auto *member = it.state->find(subjectNode);
-            const auto isConcerned = !isFirst || isHome(node);
-            if (isConcerned && (member == nullptr || member->state != expected))
-                violate(node + " does not know soon that the subject is "
+            const auto isExpected = !isFirst || isHome(node);
+            if (isExpected && (member == nullptr || member->state != expected))
+                violate(node + " has no early record that the subject is "
                         + std::string(nameOf(expected)));
         }
     }
 
-    /// A joiner knows everyone soon, of the other domain too.
+    /// Checks that a joining node soon has a record of every member, also of the other domain.
     auto checkJoiner() -> void
     {
         const auto isQuick =
@@ -325,7 +326,7 @@
         if (!isQuick || m_step != Step::Join)
             return;
         if (const auto n = subject().state->view().members.size(); n != HomeNodes + OtherNodes)
-            violate("the joiner knows only " + std::to_string(n) + " members");
+            violate("the joining node has only " + std::to_string(n) + " members");
     }
 
     auto checkDeath() -> void
@@ -335,13 +336,13 @@
                 continue;
             const auto *member = it.state->find(subjectNode);
             if (member != nullptr && isPresent(*member))
-                violate(node + " does not know that the subject is dead");
+                violate(node + " has not recorded that the subject is dead");
         }
         if (m_fault != Fault::SplitDomains)
             return;
         for (const auto &it : m_network.node(other(2)).state->view().members) {
             if (isHome(it.node) && it.liveness == Liveness::Dead && !m_hasLeft)
-                violate("the other domain took " + it.node + " for dead");
+                violate("the other domain declared " + it.node + " dead");
         }
     }
 
@@ -351,21 +352,21 @@
             if (!it.state || (m_hasLeft && node == subjectNode))
                 continue;
             if (it.state->waitingUpdates() > 0)
-                violate(node + " still passes updates on");
-            for (auto &[member, about] : m_network.nodes())
-                checkKnowledge(node, *it.state, member, about.state.get());
+                violate(node + " still has queued updates");
+            for (auto &[member, memberNode] : m_network.nodes())
+                checkRecord(node, *it.state, member, memberNode.state.get());
         }
     }
 
-    auto checkKnowledge(const NodeId &node, const typename VirtualNetwork<Policy>::State &state,
-                        const NodeId &member, const typename VirtualNetwork<Policy>::State *truth)
+    auto checkRecord(const NodeId &node, const typename VirtualNetwork<Policy>::State &state,
+                     const NodeId &member, const typename VirtualNetwork<Policy>::State *truth)
             -> void
     {
-        const auto *known = state.find(member);
+        const auto *record = state.find(member);
         const auto isGone = truth == nullptr || (m_hasLeft && member == subjectNode);
-        if (isGone && known != nullptr && isPresent(*known))
-            violate(node + " takes " + member + " for alive, which is gone");
-        else if (!isGone && (known == nullptr || *known != truth->self()))
+        if (isGone && record != nullptr && isPresent(*record))
+            violate(node + " has a live record of " + member + ", which has ended");
+        else if (!isGone && (record == nullptr || *record != truth->self()))
             violate(node + " has an old or no record of " + member);
         if (!isGone && !state.isReachable(truth->self().domain))
             violate(node + " has not found the domain of " + member + " again");
@@ -384,10 +385,9 @@
     Fault m_fault;
     Step m_step;
     VirtualNetwork<Policy> m_network;
-    std::function<bool(const NodeId &, const NodeId &)> m_isOpen = [](const auto &, const auto &) {
-        return true;
-    };
-    bool m_isWatching = false;
+    std::function<bool(const NodeId &, const NodeId &)> m_isConnected =
+            [](const auto &, const auto &) { return true; };
+    bool m_isChecking = false;
     bool m_isKilled = false;
     bool m_hasLeft = false;
     std::vector<std::string> m_violations;
--- a/tests/membership/FaultMatrixCells.h
+++ b/tests/membership/FaultMatrixCells.h
@@ -11,12 +11,12 @@
 enum class Fault {
     None,
     Kill,
-    KillWithLateDuplicates, ///< What the killed node sent keeps arriving.
+    KillWithLateDuplicates, ///< Datagrams of the killed node keep arriving.
     PauseShort,
     PauseLong,
     CutPairOneWay,
     CutPairBothWays,
-    CutOneWay, ///< Nothing that the subject sends arrives.
+    CutOneWay, ///< No datagram of the subject arrives.
     CutBothWays,
     Slow,
     Duplicate,
@@ -25,7 +25,7 @@
     Loss20,
     Restart,
     RestartWithClockBehind,
-    Split, ///< The domain falls in two halves.
+    Split, ///< The domain is split into two halves.
     SplitDomains,
 };
 
@@ -35,7 +35,7 @@
     Probe,
     IndirectProbe,
     Suspect,
-    ForeignClaim, ///< A node of another domain says that a member is suspect.
+    ForeignClaim, ///< A node of another domain claims that a member is suspect.
     Refute,
     RelayExchange,
     Drain,
--- a/tests/membership/TestAnnouncements.cpp
+++ b/tests/membership/TestAnnouncements.cpp
@@ -25,7 +25,7 @@
     {
         const char *field;
         const char *value;
-        const char *remedy; ///< A part of the message.
+        const char *remedy; ///< Part of the error message.
     };
     const Case cases[] = {
             {"service", "\"\"", "a-z, 0-9"},      {"service", "7", "a-z, 0-9"},
@@ -51,14 +51,14 @@
     cr_expect_throw(parseAnnouncement(std::string(5000, ' ')), AnnouncementError);
 }
 
-Test(BackendAnnouncements, silenceCountsAsLeavingAndAnnouncingAgainAsReturning)
+Test(BackendAnnouncements, aServerWithoutAnnouncementsHasLeftUntilItAnnouncesItselfAgain)
 {
     auto backend = BackendAnnouncements(5 * Second);
     const auto start = TimePoint(100 * Second);
     const auto serving = Announcement{"order-intake", 9001, 110, ServingState::Serving, 0};
     cr_assert(!backend.tick(start));
     cr_assert(backend.receive(serving, start));
-    cr_assert(!backend.receive(serving, start + Second), "a heartbeat is no change");
+    cr_assert(!backend.receive(serving, start + Second), "a repeated announcement is no change");
     cr_assert(!backend.tick(start + 5 * Second));
     cr_assert(backend.tick(start + 6 * Second));
     cr_assert(!backend.tick(start + 7 * Second), "left once");
@@ -80,7 +80,7 @@
     cr_assert(backend.receive(second, now));
 }
 
-Test(BackendAnnouncements, aDrainingNodeShowsNoBackendServerAsServing)
+Test(BackendAnnouncements, aDrainingNodeShowsItsBackendServerAsDraining)
 {
     auto backend = BackendAnnouncements(5 * Second);
     const auto now = TimePoint(100 * Second);
--- a/tests/membership/TestInstances.cpp
+++ b/tests/membership/TestInstances.cpp
@@ -21,7 +21,7 @@
     return announcement;
 }
 
-Test(Instances, aNewInstanceTakesThePlaceOfTheOneBefore)
+Test(Instances, aNewInstanceReplacesItsPredecessor)
 {
     auto announcements = BackendAnnouncements(Second * 8);
     cr_assert(announcements.receive(makeAnnouncement("a", 5), Start));
@@ -30,7 +30,7 @@
     cr_assert_eq(announcements.current()->incarnation.instance, "b");
 }
 
-Test(Instances, lateAnnouncementsArePassedOver)
+Test(Instances, lateAnnouncementsAreIgnored)
 {
     auto announcements = BackendAnnouncements(Second * 8);
     announcements.receive(makeAnnouncement("a", 5, ServingState::Draining), Start);
@@ -41,7 +41,7 @@
     cr_assert_eq(announcements.current()->incarnation.instance, "b");
 }
 
-Test(Instances, whoHasLeftDoesNotComeBack)
+Test(Instances, anInstanceThatHasLeftDoesNotReturn)
 {
     auto announcements = BackendAnnouncements(Second * 8);
     announcements.receive(makeAnnouncement("a", 5), Start);
@@ -61,7 +61,7 @@
     cr_assert(announcements.isServing());
 }
 
-Test(Instances, silenceIsTakenBackByTheNextAnnouncement)
+Test(Instances, aSilentInstanceReturnsWithItsNextAnnouncement)
 {
     auto announcements = BackendAnnouncements(Second * 8);
     announcements.receive(makeAnnouncement("a", 1), Start);
@@ -70,9 +70,10 @@
     cr_assert(announcements.isServing());
 }
 
-Test(Instances, aLateAnnouncementOfADeadOneIsTakenBackByTheLiving)
+Test(Instances, aLateAnnouncementOfAnEndedInstanceIsReplacedByTheRunningOne)
 {
-    // The node has started anew: it hears the living one first, then what a cut has held back of the one before it.
+    // The node has restarted: it receives the running instance first, then announcements of the ended one that a
+    // network partition delayed.
     auto announcements = BackendAnnouncements(Second * 8);
     announcements.receive(makeAnnouncement("living", 7), Start);
     announcements.receive(makeAnnouncement("dead", 90), Start + Second);
@@ -84,7 +85,7 @@
     cr_assert_eq(announcements.current()->incarnation.instance, "living");
 }
 
-Test(Instances, lateAnnouncementsThatComeAtOnceAreNoReturn)
+Test(Instances, lateAnnouncementsThatArriveTogetherAreNoReturn)
 {
     auto announcements = BackendAnnouncements(Second * 8);
     announcements.receive(makeAnnouncement("dead", 5), Start);
@@ -96,9 +97,9 @@
     cr_assert_eq(announcements.current()->incarnation.instance, "living");
 }
 
-/// The same backend server "a", by the start of its life.
-static auto ofLife(std::uint64_t startedAtMs, std::uint64_t sequence,
-                   ServingState state = ServingState::Serving) -> Announcement
+/// Returns an announcement of backend server "a" with the given start time.
+static auto announcementStartedAt(std::uint64_t startedAtMs, std::uint64_t sequence,
+                                  ServingState state = ServingState::Serving) -> Announcement
 {
     auto announcement = makeAnnouncement("a", sequence, state);
     announcement.incarnation.startedAtMs = startedAtMs;
@@ -108,17 +109,19 @@
 static constexpr auto FirstStart = std::uint64_t{1'700'000'000'000};
 static constexpr auto SecondStart = FirstStart + 60'000;
 
-Test(Lives, aLaterStartBeginsAnewWhateverItsSequence)
+Test(BackendIncarnations, aLaterStartIsAcceptedWhateverItsSequence)
 {
     struct
     {
         const char *name;
-        void (*endOfFirstLife)(BackendAnnouncements &);
+        void (*endFirstIncarnation)(BackendAnnouncements &);
     } const cases[] = {
             {"crashed", [](auto &) {}},
             {"silent", [](auto &it) { it.tick(Start + Second * 9); }},
             {"draining",
-             [](auto &it) { it.receive(ofLife(FirstStart, 91, ServingState::Draining), Start); }},
+             [](auto &it) {
+                 it.receive(announcementStartedAt(FirstStart, 91, ServingState::Draining), Start);
+             }},
             {"left",
              [](auto &it) {
                  it.leave({"a", FirstStart}, Start);
@@ -127,64 +130,65 @@
     };
     for (const auto &it : cases) {
         auto announcements = BackendAnnouncements(Second * 8);
-        announcements.receive(ofLife(FirstStart, 90), Start);
-        it.endOfFirstLife(announcements);
-        cr_assert(announcements.receive(ofLife(SecondStart, 1), Start + Second * 10), "%s",
-                  it.name);
+        announcements.receive(announcementStartedAt(FirstStart, 90), Start);
+        it.endFirstIncarnation(announcements);
+        cr_assert(announcements.receive(announcementStartedAt(SecondStart, 1), Start + Second * 10),
+                  "%s", it.name);
         cr_assert(announcements.isServing(), "%s", it.name);
         cr_assert_eq(announcements.current()->incarnation.startedAtMs, SecondStart, "%s", it.name);
     }
 }
 
-Test(Lives, anEarlierStartIsOutdatedWhateverItsSequence)
+Test(BackendIncarnations, anEarlierStartIsOutdatedWhateverItsSequence)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.receive(ofLife(SecondStart, 1), Start);
-    cr_assert(!announcements.receive(ofLife(FirstStart, 90, ServingState::Draining), Start));
+    announcements.receive(announcementStartedAt(SecondStart, 1), Start);
+    cr_assert(!announcements.receive(announcementStartedAt(FirstStart, 90, ServingState::Draining),
+                                     Start));
     cr_assert(!announcements.receive(makeAnnouncement("a", 91), Start), "no start at all");
     cr_assert(announcements.isServing());
     cr_assert_eq(announcements.current()->incarnation.startedAtMs, SecondStart);
     cr_assert_eq(announcements.current()->sequence, 1);
 }
 
-Test(Lives, theLateWordThatAnEarlierLifeLeftChangesNothing)
+Test(BackendIncarnations, theLateLeaveOfAnEarlierIncarnationChangesNothing)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.receive(ofLife(FirstStart, 90), Start);
-    announcements.receive(ofLife(SecondStart, 1), Start + Second);
+    announcements.receive(announcementStartedAt(FirstStart, 90), Start);
+    announcements.receive(announcementStartedAt(SecondStart, 1), Start + Second);
     cr_assert(!announcements.leave({"a", FirstStart}, Start + Second * 2));
     cr_assert(announcements.isServing());
 }
 
-Test(Lives, aLifeThatHasLeftDoesNotComeBack)
+Test(BackendIncarnations, anIncarnationThatHasLeftDoesNotReturn)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.receive(ofLife(SecondStart, 1), Start);
+    announcements.receive(announcementStartedAt(SecondStart, 1), Start);
     cr_assert(announcements.leave({"a"}, Start));
     for (auto n = 2; n < 20; ++n)
-        announcements.receive(ofLife(SecondStart, static_cast<std::uint64_t>(n)),
+        announcements.receive(announcementStartedAt(SecondStart, static_cast<std::uint64_t>(n)),
                               Start + Second * n);
     cr_assert(!announcements.isServing());
 }
 
-Test(Lives, afterTheClockWasSetBackTheLivingOneIsTakenOnceTheOtherIsSilent)
+Test(BackendIncarnations, afterTheClockWasSetBackTheRunningInstanceIsAcceptedOnceTheOtherIsSilent)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.receive(ofLife(SecondStart, 90), Start);
+    announcements.receive(announcementStartedAt(SecondStart, 90), Start);
     auto sequence = std::uint64_t{1};
     for (auto now = Start + Second; now < Start + Second * 6; now += Second * 3 / 2)
-        announcements.receive(ofLife(FirstStart, sequence++), now);
+        announcements.receive(announcementStartedAt(FirstStart, sequence++), now);
     cr_assert_eq(announcements.current()->incarnation.startedAtMs, FirstStart);
-    // What the dead one sent before comes late, and a third life starts while the clock is still behind.
-    cr_assert(!announcements.receive(ofLife(SecondStart, 91), Start + Second * 7));
-    cr_assert(announcements.receive(ofLife(FirstStart + 1, 1), Start + Second * 8));
+    // Announcements of the ended instance arrive late, and a third instance starts while the clock is still behind.
+    cr_assert(!announcements.receive(announcementStartedAt(SecondStart, 91), Start + Second * 7));
+    cr_assert(announcements.receive(announcementStartedAt(FirstStart + 1, 1), Start + Second * 8));
     cr_assert_eq(announcements.current()->incarnation.startedAtMs, FirstStart + 1);
 }
 
-Test(Lives, whoTellsNoStartDoesNotTakeThePlaceOfOneThatDoes)
+Test(BackendIncarnations, anInstanceWithoutAStartDoesNotReplaceOneWithAStart)
 {
     auto announcements = BackendAnnouncements(Second * 8);
-    announcements.receive(ofLife(FirstStart, 1), Start);
+    announcements.receive(announcementStartedAt(FirstStart, 1), Start);
     cr_assert_throw(announcements.receive(makeAnnouncement("stranger", 1), Start),
                     AnnouncementError);
     cr_assert_eq(announcements.current()->incarnation.instance, "a");
--- a/tests/membership/TestMembershipState.cpp
+++ b/tests/membership/TestMembershipState.cpp
@@ -32,7 +32,7 @@
     startDomain(network, 20);
     network.run(20 * Period);
     for (auto &[id, node] : network.nodes()) {
-        cr_assert_eq(node.state->view().members.size(), 20U, "%s knows %zu", id.c_str(),
+        cr_assert_eq(node.state->view().members.size(), 20U, "%s has %zu members", id.c_str(),
                      node.state->view().members.size());
         for (const auto &it : node.state->view().members) {
             cr_assert(it.liveness == Liveness::Alive);
@@ -41,8 +41,8 @@
     }
 }
 
-/// How long twenty nodes that start at once take until each knows all.
-static auto timeToKnowAll(std::uint32_t quickPeriods, std::uint64_t seed) -> Duration
+/// Returns the time that twenty nodes that start simultaneously take until each has all members.
+static auto timeToFullView(std::uint32_t quickPeriods, std::uint64_t seed) -> Duration
 {
     static constexpr auto Size = std::size_t{20};
     static constexpr auto Step = Period / 10;
@@ -52,9 +52,11 @@
         settings.quickPeriods = quickPeriods;
         network.start(settings).setSelf(network.now(), "booking", 60, ServingState::Serving);
     }
-    const auto knowsAll = [](auto &it) { return it.second.state->view().members.size() == Size; };
+    const auto hasAllMembers = [](auto &it) {
+        return it.second.state->view().members.size() == Size;
+    };
     auto taken = Duration::zero();
-    while (!std::ranges::all_of(network.nodes(), knowsAll)) {
+    while (!std::ranges::all_of(network.nodes(), hasAllMembers)) {
         cr_assert_lt(taken, 60 * Period);
         network.run(Step);
         taken += Step;
@@ -62,15 +64,15 @@
     return taken;
 }
 
-Test(MembershipState, nodesThatHaveJustStartedFindEachOtherSooner)
+Test(MembershipState, nodesFindEachOtherSoonerInQuickPeriods)
 {
     auto plain = Duration::zero();
     auto quick = Duration::zero();
     for (auto seed = std::uint64_t{1}; seed <= 10; ++seed) {
-        plain += timeToKnowAll(0, seed);
-        quick += timeToKnowAll(30, seed);
+        plain += timeToFullView(0, seed);
+        quick += timeToFullView(30, seed);
     }
-    cr_assert_lt(quick * 2, plain, "%ld us in place of %ld us", quick.count(), plain.count());
+    cr_assert_lt(quick * 2, plain, "%ld us instead of %ld us", quick.count(), plain.count());
 }
 
 Test(MembershipState, aKilledNodeIsDeadEverywhere)
@@ -86,7 +88,7 @@
     }
 }
 
-Test(MembershipState, garbageAndForgedSendersAreCountedAndChangeNothing)
+Test(MembershipState, invalidDatagramsAndForgedSendersAreCountedAndChangeNothing)
 {
     auto network = VirtualNetwork<StandardPolicy>(3);
     startDomain(network, 2);
@@ -104,7 +106,7 @@
     cr_assert(state.view().members == before);
 }
 
-Test(MembershipState, annotationsTravelWithProbes)
+Test(MembershipState, annotationsAreSentWithProbes)
 {
     auto network = VirtualNetwork<StandardPolicy>(4);
     startDomain(network, 2);
@@ -119,7 +121,7 @@
     }));
 }
 
-Test(MembershipState, deadMembersAreForgottenInTheEnd)
+Test(MembershipState, deadMembersAreRemovedAfterTheirRetention)
 {
     auto network = VirtualNetwork<StandardPolicy>(5);
     for (std::size_t index = 1; index <= 3; ++index) {
--- a/tests/membership/TestMessageCodec.cpp
+++ b/tests/membership/TestMessageCodec.cpp
@@ -39,7 +39,7 @@
     return message;
 }
 
-Test(MessageCodec, everyPartSurvives)
+Test(MessageCodec, everyPartIsRestored)
 {
     cr_assert(decode(encode(fullMessage())) == fullMessage());
     auto small = Message();
@@ -50,19 +50,19 @@
 
 Test(MessageCodec, everyTruncationAndSurplusIsRefused)
 {
-    const auto whole = encode(fullMessage());
-    for (std::size_t n = 0; n < whole.size(); ++n)
-        cr_assert_throw(decode(std::string_view(whole).substr(0, n)), MessageError,
+    const auto encoded = encode(fullMessage());
+    for (std::size_t n = 0; n < encoded.size(); ++n)
+        cr_assert_throw(decode(std::string_view(encoded).substr(0, n)), MessageError,
                         "accepted %zu bytes", n);
-    cr_assert_throw(decode(whole + "x"), MessageError);
+    cr_assert_throw(decode(encoded + "x"), MessageError);
 }
 
-Test(MessageCodec, randomBytesAndFlippedBitsNeverGetPastTheTypedError)
+Test(MessageCodec, randomBytesAndFlippedBitsThrowOnlyMessageError)
 {
     auto random = Random(7);
-    const auto whole = encode(fullMessage());
+    const auto encoded = encode(fullMessage());
     for (auto round = 0; round < 20'000; ++round) {
-        auto bytes = whole;
+        auto bytes = encoded;
         for (auto flips = randomBelow(random, 4) + 1; flips > 0; --flips)
             bytes[randomBelow(random, bytes.size())] = static_cast<char>(randomBelow(random, 256));
         try {
@@ -120,11 +120,11 @@
         parts[it.part] = it.value;
         cr_assert_throw(decode(toCbor(parts)), MessageError, "accepted: %s", it.name);
     }
-    // A list that claims 2^60 entries.
+    // The length of this list is 2^60.
     cr_assert_throw(decode(std::string("\x9b\x10\0\0\0\0\0\0\0", 9)), MessageError);
 }
 
-Test(MessageCodec, budgetNeverUnderestimates)
+Test(MessageCodec, recordBudgetDoesNotUnderestimate)
 {
     auto message = Message();
     message.self = sampleMember("192.0.2.7:7100");
--- a/tests/membership/TestRendezvousSlots.cpp
+++ b/tests/membership/TestRendezvousSlots.cpp
@@ -15,7 +15,7 @@
 static constexpr auto Second = Duration{1'000'000};
 static constexpr auto Nodes = std::size_t{40};
 
-/// The keys of one domain, and a store that is down or loses answers at times.
+/// The keys of one domain, and a store that can be down or lose its answers.
 struct FakeStore
 {
     struct Key
@@ -35,7 +35,7 @@
     DownAtStart,
     DownLater,
     LostAnswers,
-    HolderPaused, ///< Its lease lapses and another takes the slot.
+    HolderPaused, ///< The holder's lease lapses and another node claims the slot.
     HolderKilled,
     HolderLeaves,
 };
@@ -57,9 +57,9 @@
         m_store.isDown = m_fault == StoreFault::DownAtStart;
         m_store.losesAnswers = m_fault == StoreFault::LostAnswers;
         runFor(600);
-        // Each has tried for ten minutes: with backoff that is some ten calls, and not six hundred.
+        // Each node has tried for ten minutes: about ten requests with backoff instead of six hundred.
         if (m_fault == StoreFault::DownAtStart && m_store.calls > Nodes * 20)
-            m_violations.emplace_back("the store was asked too often while it was down");
+            m_violations.emplace_back("too many requests were sent to the store while it was down");
         m_store.isDown = m_fault == StoreFault::DownLater;
         m_store.losesAnswers = false;
         const auto holder = firstHolder();
@@ -100,7 +100,7 @@
         auto &node = *m_nodes[index];
         const auto action = node.next(m_now);
         if (node.isHolding() && !holds(index, node.slot()))
-            m_violations.emplace_back("a node believes in a lease that has lapsed");
+            m_violations.emplace_back("a node counts itself as the holder of a lapsed lease");
         if (action == RendezvousAction::None)
             return;
         ++m_store.calls;
@@ -157,7 +157,7 @@
                 m_fault == StoreFault::HolderKilled || m_fault == StoreFault::HolderLeaves;
         for (const auto &[slot, key] : m_store.keys) {
             if (isGone && key.holder == holder)
-                m_violations.emplace_back("a node that is gone holds a slot");
+                m_violations.emplace_back("a node that was killed or left holds a slot");
         }
         static constexpr auto MaxClaims = std::size_t{15};
         if (m_fault != StoreFault::LostAnswers && m_store.claims > MaxClaims)
@@ -183,19 +183,19 @@
 }
 
 // clang-format off
-struct NoLapse : StandardRendezvousPolicy { static constexpr auto detectsLapse = false; };
-struct NoLook : StandardRendezvousPolicy { static constexpr auto readsBeforeClaim = false; };
+struct NoLapseDetection : StandardRendezvousPolicy { static constexpr auto detectsLapse = false; };
+struct NoReadBeforeClaim : StandardRendezvousPolicy { static constexpr auto readsBeforeClaim = false; };
 struct NoBackoff : StandardRendezvousPolicy { static constexpr auto backsOff = false; };
 // clang-format on
 
-Test(RendezvousSlots, eachGuardThatIsSwitchedOffIsNoticed)
+Test(RendezvousSlots, eachDisabledRuleIsDetected)
 {
-    cr_expect(!RendezvousCell<NoLapse>(StoreFault::HolderPaused).run().empty());
-    cr_expect(!RendezvousCell<NoLook>(StoreFault::None).run().empty());
+    cr_expect(!RendezvousCell<NoLapseDetection>(StoreFault::HolderPaused).run().empty());
+    cr_expect(!RendezvousCell<NoReadBeforeClaim>(StoreFault::None).run().empty());
     cr_expect(!RendezvousCell<NoBackoff>(StoreFault::DownAtStart).run().empty());
 }
 
-/// One node and its domain's key, while the store is away for a while. Steps of a tenth of a second.
+/// One node and its domain's key in a store with an outage. Each step takes a tenth of a second.
 struct HolderAndStore
 {
     static constexpr auto Step = Duration{100'000};
@@ -234,10 +234,10 @@
     }
 };
 
-/// A node that starts finds its peers by these keys alone, so that one that lapsed while the store was away has to be
-/// back soon after the store. Pauses that doubled to five minutes left a domain without keys for as long as the store had
-/// been away.
-Test(RendezvousSlots, aKeyThatLapsedIsBackSoonAfterTheStore)
+/// Guards against keys that stay away long after an outage of the store. A node that starts finds its peers by these
+/// keys alone. With a backoff that doubled to five minutes, a domain had no keys for as long as the outage had
+/// lasted.
+Test(RendezvousSlots, aLapsedKeyIsBackSoonAfterTheStore)
 {
     for (const auto outage : {20, 60, 600}) {
         auto it = HolderAndStore();
@@ -246,14 +246,14 @@
         it.isDown = true;
         it.calls = 0;
         it.runFor(outage * Second);
-        cr_expect(it.calls <= 2 * outage, "%d calls while the store was away", it.calls);
+        cr_expect(it.calls <= 2 * outage, "%d requests while the store was down", it.calls);
         it.isDown = false;
         it.runFor(3 * Second);
-        cr_expect(it.hasKey(), "after %d s", outage);
+        cr_expect(it.hasKey(), "after an outage of %d s", outage);
     }
 }
 
-/// One failure domain whose nodes start at one moment, over a store that answers in `answerTime`.
+/// One failure domain whose nodes start simultaneously, with a store that answers within `AnswerTime`.
 class DomainStart
 {
 public:
@@ -265,7 +265,7 @@
             m_nodes.push_back({RendezvousSlots(settings, seed * Nodes + index, Begin), {}, {}});
     }
 
-    /// Each node looks at what is due when it is, or on a grid.
+    /// Runs the start. Each node requests its next action at any time, or only on a grid.
     auto run(Duration grid) -> std::size_t
     {
         for (auto now = Begin; now < Begin + Second * 5; now += Millisecond) {
@@ -300,7 +300,7 @@
         const auto action = node.slots.next(now);
         if (action == RendezvousAction::None)
             return;
-        // A claim is the grant of a lease, then the key.
+        // A claim takes two requests: the grant of a lease, then the key.
         node.busyUntil = now + AnswerTime * (action == RendezvousAction::Claim ? 2 : 1);
         node.answer = [this, &node, action, now](TimePoint then) {
             finish(node, action, now, then);
@@ -327,7 +327,7 @@
     std::size_t m_claims = 0;
 };
 
-Test(RendezvousSlots, aDomainThatStartsAtOnceClaimsHardlyMoreThanItNeeds)
+Test(RendezvousSlots, aDomainThatStartsSimultaneouslySendsFewSurplusClaims)
 {
     static constexpr auto Seeds = 20U;
     auto claims = std::size_t{0};
@@ -338,7 +338,7 @@
         cr_assert_eq(start.keys(), RendezvousSettings().slots);
         onGrid += DomainStart(seed).run(Duration{200'000});
     }
-    // Looking on a grid of 200 ms, as before, brings the claims together again.
+    // With requests on a grid of 200 ms, the claims coincide.
     cr_assert_leq(claims, std::size_t{8} * Seeds, "%zu claims", claims);
     cr_assert_geq(onGrid, 2 * claims, "%zu claims on a grid, %zu without", onGrid, claims);
 }
--- a/tests/membership/TestViewPacer.cpp
+++ b/tests/membership/TestViewPacer.cpp
@@ -11,26 +11,27 @@
 static constexpr auto Tick = Duration(100'000);
 static constexpr auto Pause = Duration(1'000'000);
 
-Test(ViewPacer, changesAreShownAtOnceAfterAQuietTimeAndTogetherOtherwise)
+Test(ViewPacer, changesArePublishedAtOnceAfterAQuietTimeAndTogetherOtherwise)
 {
     struct Case
     {
         const char *name;
-        /// One letter a tick: `.` nothing, `c` a change, `u` an urgent one.
+        /// One character for each tick: `.` no change, `c` a change, `u` an urgent change.
         std::string changes;
-        /// One letter a tick: `.` no view, `V` a view.
+        /// One character for each tick: `.` no view, `V` a view.
         std::string views;
     };
     const Case cases[] = {
             {"nothing", "............", "............"},
             {"the first change at once", ".c..........", ".V.........."},
             {"a change each tick", "cccccccccccccccccccccc", "V.........V.........V."},
-            {"a last change is not forgotten", "cc....................", "V.........V..........."},
+            {"a last change is published", "cc....................", "V.........V..........."},
             {"quiet, then at once again", "c............c........", "V............V........"},
-            {"one urgent change goes at once", "c..u..................", "V..V.................."},
+            {"one urgent change at once", "c..u..................", "V..V.................."},
             {"a second one waits", "c..u.u................", "V..V.........V........"},
             {"urgent ones each tick", "uuuuuuuuuuuuuuuuuuuuuu", "VV.........VV........."},
-            {"an urgent one shows what waits", "cc.u..................", "V..V.................."},
+            {"an urgent change publishes pending ones", "cc.u..................",
+             "V..V.................."},
             {"a change after an urgent one waits", "c.uc..................",
              "V.V.........V........."},
     };
--- a/tests/membership/VirtualNetwork.h
+++ b/tests/membership/VirtualNetwork.h
@@ -14,8 +14,8 @@
 
 namespace stairspur::membership {
 
-/// Datagrams between fakes under a virtual clock: each is delivered after a seeded delay, unless a fault forbids it.
-/// Used by the tests and by the measurement.
+/// Sends datagrams between protocol states on a virtual clock. Each is delivered after a seeded random delay, unless
+/// a fault prevents it. Used by the tests and by the measurement.
 template <typename Policy>
 class VirtualNetwork
 {
@@ -24,38 +24,39 @@
 
     struct Node
     {
-        std::unique_ptr<State> state; ///< Null: the process does not run.
+        std::unique_ptr<State> state; ///< Null while the process does not run.
         MembershipSettings settings;
         bool isPaused = false;
-        Duration extraDelay{0}; ///< Before it reads what has arrived.
+        /// Delay before the node reads a datagram that has arrived.
+        Duration extraDelay{0};
         std::vector<MembershipEvent> events;
-        std::map<NodeId, Incarnation> greatestSeen; ///< For tests: of each member, in events.
+        /// The greatest incarnation of each member in events, for tests.
+        std::map<NodeId, Incarnation> greatestIncarnations;
     };
 
     explicit VirtualNetwork(std::uint64_t seed)
         : m_random(seed)
     {}
 
-    double lossShare = 0;
-    double duplicateShare = 0;
-    Duration minimumDelay{500};
-    Duration maximumDelay{2'000};
-    /// Whether a datagram from one node to another gets through.
-    std::function<bool(const NodeId &, const NodeId &)> isOpen = [](const auto &, const auto &) {
-        return true;
-    };
-    /// What this node sends is kept, and keeps arriving while `isReplaying`.
+    double lossProbability = 0;
+    double duplicateProbability = 0;
+    Duration minDelay{500};
+    Duration maxDelay{2'000};
+    /// Returns whether a datagram from one node to another is delivered.
+    std::function<bool(const NodeId &, const NodeId &)> isConnected =
+            [](const auto &, const auto &) { return true; };
+    /// Datagrams of this node are recorded, and delivered again while `isReplaying`.
     NodeId recordedNode;
     bool isReplaying = false;
     /// Called for each event of a node.
-    std::function<void(const NodeId &, const MembershipEvent &)> didHappen;
+    std::function<void(const NodeId &, const MembershipEvent &)> didEmit;
 
     auto start(const MembershipSettings &settings) -> State &
     {
         auto &node = m_nodes[settings.node];
         node.settings = settings;
         node.isPaused = false;
-        node.greatestSeen.clear();
+        node.greatestIncarnations.clear();
         node.state = std::make_unique<State>(settings, m_random(), m_now);
         schedule(m_now, settings.node, {}, {});
         return *node.state;
@@ -67,9 +68,9 @@
     {
         auto &node = m_nodes.at(id);
         node.isPaused = false;
-        // The timers that are overdue may well run before anything is read.
+        // Overdue timers may run before any datagram is read.
         schedule(m_now, id, {}, {});
-        for (auto &it : std::exchange(m_held[id], {}))
+        for (auto &it : std::exchange(m_pending[id], {}))
             schedule(m_now, id, it.first, it.second);
     }
 
@@ -85,15 +86,15 @@
         m_now = end;
     }
 
-    /// Hands on what a node's state wants to send; for calls from outside, such as leave().
+    /// Sends the pending datagrams and collects the events of a node; used after calls from outside, such as leave().
     auto flush(const NodeId &id) -> void
     {
         auto &node = m_nodes.at(id);
         for (auto &it : node.state->takeDatagrams())
             transmit(id, it);
         for (auto &it : node.state->takeEvents()) {
-            if (didHappen)
-                didHappen(id, it);
+            if (didEmit)
+                didEmit(id, it);
             node.events.push_back(std::move(it));
         }
     }
@@ -109,7 +110,7 @@
         TimePoint at;
         std::uint64_t order;
         NodeId to;
-        NodeId from; ///< Empty: a tick.
+        NodeId from; ///< Empty for a tick.
         std::string payload;
 
         auto operator<(const Delivery &other) const -> bool
@@ -126,16 +127,15 @@
     auto transmit(const NodeId &from, const OutgoingDatagram &datagram) -> void
     {
         if (from == recordedNode)
-            m_sent[datagram.to].push_back(datagram.payload);
-        const auto copies = randomUnit(m_random) < duplicateShare ? 2 : 1;
+            m_recorded[datagram.to].push_back(datagram.payload);
+        const auto copies = randomUnit(m_random) < duplicateProbability ? 2 : 1;
         const auto isKnown = m_nodes.contains(datagram.to);
-        if (!isKnown || !isOpen(from, datagram.to) || randomUnit(m_random) < lossShare)
+        if (!isKnown || !isConnected(from, datagram.to) || randomUnit(m_random) < lossProbability)
             return;
-        const auto spread = static_cast<std::uint64_t>((maximumDelay - minimumDelay).count()) + 1;
+        const auto spread = static_cast<std::uint64_t>((maxDelay - minDelay).count()) + 1;
         for (auto index = 0; index < copies; ++index) {
             const auto delay =
-                    minimumDelay
-                    + Duration(static_cast<Duration::rep>(randomBelow(m_random, spread)));
+                    minDelay + Duration(static_cast<Duration::rep>(randomBelow(m_random, spread)));
             schedule(m_now + delay + m_nodes.at(datagram.to).extraDelay, datagram.to, from,
                      datagram.payload);
         }
@@ -148,7 +148,7 @@
             return;
         if (node.isPaused) {
             if (!delivery.from.empty())
-                m_held[delivery.to].emplace_back(delivery.from, delivery.payload);
+                m_pending[delivery.to].emplace_back(delivery.from, delivery.payload);
             return;
         }
         if (isReplaying && delivery.from.empty())
@@ -156,7 +156,7 @@
         if (!delivery.from.empty()) {
             node.state->receive(m_now, delivery.from, delivery.payload);
         } else if (m_nextTick[delivery.to] <= m_now) {
-            // A restart or a resumption may have scheduled ticks twice; one chain goes on.
+            // A restart or a resumption may have scheduled ticks twice; only one chain continues.
             node.state->tick(m_now);
             m_nextTick[delivery.to] = m_now + TickInterval;
             schedule(m_now + TickInterval, delivery.to, {}, {});
@@ -167,7 +167,7 @@
     auto replayTo(const NodeId &to) -> void
     {
         static constexpr auto Share = 0.1;
-        for (const auto &it : m_sent[to]) {
+        for (const auto &it : m_recorded[to]) {
             if (randomUnit(m_random) < Share)
                 m_nodes.at(to).state->receive(m_now, recordedNode, it);
         }
@@ -180,9 +180,9 @@
     std::uint64_t m_order = 0;
     std::priority_queue<Delivery> m_queue;
     std::map<NodeId, Node> m_nodes;
-    std::map<NodeId, std::vector<std::string>> m_sent;
+    std::map<NodeId, std::vector<std::string>> m_recorded;
     std::map<NodeId, TimePoint> m_nextTick;
-    std::map<NodeId, std::vector<std::pair<NodeId, std::string>>> m_held;
+    std::map<NodeId, std::vector<std::pair<NodeId, std::string>>> m_pending;
 };
 
 } // namespace stairspur::membership
