--- a/include/stairspur/membership/FailureDetector.h
+++ b/include/stairspur/membership/FailureDetector.h
@@ -10,8 +10,8 @@
 namespace stairspur::membership {
 
 /// Probes one member of the own domain in each protocol period: first directly, then through other members. A member
-/// that fails both is suspected, and declared dead if it does not refute the suspicion (SWIM, Das et al., DSN 2002).
-/// A node whose own probes fail waits longer before it suspects others (Lifeguard, Dadgar et al., DSN-W 2018).
+/// that answers neither probe is suspected, and declared dead if it does not refute the suspicion (SWIM, Das et al.,
+/// DSN 2002). A node whose own probes fail waits longer before it suspects others (Lifeguard, Dadgar et al., DSN-W 2018).
 template <MembershipPolicy Policy>
 class FailureDetector
 {
@@ -141,7 +141,7 @@
     {
         const auto &settings = m_core.settings();
         const auto scale = 1 + m_penalty;
-        // The probe ends slightly before the next period, so that this period sees its result.
+        // The probe ends slightly before the next period starts, so that its result is processed then.
         const auto slack = settings.period / 10;
         m_probe = Probe{target, ++m_sequence, m_core.now() + settings.probeTimeout * scale,
                         m_core.now() + settings.period * scale - slack, false};
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Sends a few more of them the claim, without drawing conclusions from a missing answer.
+    /// Sends the death claim to a few more disputed members. A missing answer has no consequence.
     auto probeDisputed() -> void
     {
         static constexpr auto MaxProbes = 3;
--- a/include/stairspur/membership/MembershipCore.h
+++ b/include/stairspur/membership/MembershipCore.h
@@ -144,7 +144,7 @@
     /// Returns and clears the death claims about members whose current record is alive.
     auto takeDisputed() -> std::vector<Member> { return std::exchange(m_disputed, {}); }
 
-    /// Applies a conclusion of this node itself.
+    /// Applies a claim without verification: a conclusion of this node, or a claim that apply() accepts.
     auto applyLocal(Member claim) -> void
     {
         if (claim.node == m_self.node) {
--- a/include/stairspur/membership/PeerDiscovery.h
+++ b/include/stairspur/membership/PeerDiscovery.h
@@ -73,8 +73,8 @@
             return;
         auto candidates = hintsWithoutRecord();
         for (const auto &[node, entry] : m_core.table().entries()) {
-            const auto isOwn = entry.member.domain == m_core.self().domain;
-            if (isOwn && entry.member.liveness == Liveness::Dead)
+            const auto isOwnDomain = entry.member.domain == m_core.self().domain;
+            if (isOwnDomain && entry.member.liveness == Liveness::Dead)
                 candidates.push_back(node);
         }
         if (!candidates.empty())
--- a/source/membership/BackendAnnouncements.cpp
+++ b/source/membership/BackendAnnouncements.cpp
@@ -31,7 +31,8 @@
     return last && incarnation.startedAtMs < last->startedAtMs;
 }
 
-/// Late announcements belong to a process instance that has ended, or are older than the latest received one.
+/// Returns whether the announcement is late: it belongs to an ended process instance, or is older than the latest
+/// received one.
 auto BackendAnnouncements::isOutdated(const Announcement &announcement) const -> bool
 {
     if (announcement.incarnation.instance.empty())
@@ -82,7 +83,8 @@
     return now - m_returnCandidate->since >= m_timeout / ReturnDivisor;
 }
 
-/// A server that sends no start time is of another implementation than one that does, and must not replace it.
+/// Returns whether a server without a start time would replace one that sends it. The two are of different
+/// implementations, so the former must not end the service of the latter.
 auto BackendAnnouncements::lacksStartTime(const Announcement &announcement) const -> bool
 {
     return announcement.incarnation.startedAtMs == 0 && m_current->incarnation.startedAtMs > 0
