--- a/tests/membership/TestMutants.cpp
+++ b/tests/membership/TestMutants.cpp
@@ -52,17 +52,17 @@
             {"probesIndirectly", isDetected<NoIndirectProbes>(Fault::CutPairBothWays, Step::Probe)},
             {"matchesSequences",
              isDetected<NoSequences>(Fault::KillWithLateDuplicates, Step::Probe)},
-            {"tellsSuspects", isDetected<NoNotificationOfSuspects>(Fault::Split, Step::Probe)},
+            {"notifiesSuspects", isDetected<NoNotificationOfSuspects>(Fault::Split, Step::Probe)},
             {"probesDead", isDetected<NoProbesOfDead>(Fault::Split, Step::Probe)},
             {"exchangesDigests", isDetected<NoDigests>(Fault::None, Step::Join)},
-            {"doubtsVerdicts", isDetected<NoVerificationOfDeaths>(Fault::CutOneWay, Step::Probe)},
-            {"noticesPauses", isDetected<NoPauseDetection>(Fault::PauseLong, Step::Suspect)},
-            {"spreadsUrgently", isDetected<NoUrgentUpdates>(Fault::None, Step::Drain)},
+            {"verifiesDeathClaims", isDetected<NoVerificationOfDeaths>(Fault::CutOneWay, Step::Probe)},
+            {"detectsPauses", isDetected<NoPauseDetection>(Fault::PauseLong, Step::Suspect)},
+            {"sendsUrgentUpdates", isDetected<NoUrgentUpdates>(Fault::None, Step::Drain)},
             {"boundsRetransmission",
              isDetected<NoRetransmissionBound>(Fault::None, Step::Announce)},
             {"keepsUnreachableDomains",
              isDetected<NoRetentionOfDomains>(Fault::SplitDomains, Step::Probe)},
-            {"checksStatedDomains", isDetected<NoDomainCheck>(Fault::None, Step::ForeignClaim)},
+            {"checksRecordDomains", isDetected<NoDomainCheck>(Fault::None, Step::ForeignClaim)},
     };
     for (const auto &it : cases)
         cr_expect(it.isDetected, "the matrix does not detect that %s is off", it.name);
