--- a/source/membership/BackendAnnouncements.cpp
+++ b/source/membership/BackendAnnouncements.cpp
@@ -4,139 +4,147 @@
 
 namespace stairspur::membership {
 
-auto BackendAnnouncements::stateThatCounts(ServingState announced) const -> ServingState
+auto BackendAnnouncements::effectiveState(ServingState announced) const -> ServingState
 {
-    const auto wouldTakeWork =
+    const auto acceptsWork =
             announced == ServingState::Starting || announced == ServingState::Serving;
-    return m_isDraining && wouldTakeWork ? ServingState::Draining : announced;
+    return m_isDraining && acceptsWork ? ServingState::Draining : announced;
 }
 
-auto BackendAnnouncements::lastLifeOf(const std::string &instance) const
-        -> std::optional<BackendLife>
+auto BackendAnnouncements::lastIncarnationOf(const std::string &instance) const
+        -> std::optional<BackendIncarnation>
 {
-    if (m_current && m_current->life.instance == instance)
-        return m_current->life;
-    const auto isNamedSo = [&](const BackendLife &it) { return it.instance == instance; };
-    const auto last = std::find_if(m_retired.rbegin(), m_retired.rend(), isNamedSo);
+    if (m_current && m_current->incarnation.instance == instance)
+        return m_current->incarnation;
+    const auto hasThisName = [&](const BackendIncarnation &it) { return it.instance == instance; };
+    const auto last = std::find_if(m_retired.rbegin(), m_retired.rend(), hasThisName);
     return last == m_retired.rend() ? std::nullopt : std::optional(*last);
 }
 
-auto BackendAnnouncements::isPast(const BackendLife &life) const -> bool
+auto BackendAnnouncements::hasEnded(const BackendIncarnation &incarnation) const -> bool
 {
-    if (life.instance.empty())
+    if (incarnation.instance.empty())
         return false;
-    if (std::ranges::find(m_retired, life) != m_retired.end())
+    if (std::ranges::find(m_retired, incarnation) != m_retired.end())
         return true;
-    const auto last = lastLifeOf(life.instance);
-    return last && life.startedAtMs < last->startedAtMs;
+    const auto last = lastIncarnationOf(incarnation.instance);
+    return last && incarnation.startedAtMs < last->startedAtMs;
 }
 
-/// Late announcements come from a life that is over, or are older than one that was heard.
+/// Returns whether the announcement is late: it belongs to an ended process instance, or is older than the latest
+/// received one.
 auto BackendAnnouncements::isOutdated(const Announcement &announcement) const -> bool
 {
-    if (announcement.life.instance.empty())
+    if (announcement.incarnation.instance.empty())
         return false;
-    const auto isLate = m_current && m_current->life == announcement.life
+    const auto isLate = m_current && m_current->incarnation == announcement.incarnation
                         && announcement.sequence < m_current->sequence;
-    return isLate || isPast(announcement.life);
+    return isLate || hasEnded(announcement.incarnation);
 }
 
-static auto keepLast(std::deque<BackendLife> &lives, const BackendLife &life) -> void
+static auto appendBounded(std::deque<BackendIncarnation> &instances,
+                          const BackendIncarnation &incarnation) -> void
 {
-    /// Far more lives than one host sees while an announcement is on its way.
-    static constexpr auto MaxKept = std::size_t{32};
-    if (life.instance.empty())
+    /// Far more process instances than one host starts while an announcement is in transit.
+    static constexpr auto MaxInstances = std::size_t{32};
+    if (incarnation.instance.empty())
         return;
-    lives.push_back(life);
-    if (lives.size() > MaxKept)
-        lives.pop_front();
+    instances.push_back(incarnation);
+    if (instances.size() > MaxInstances)
+        instances.pop_front();
 }
 
-auto BackendAnnouncements::retire(const BackendLife &life) -> void
+auto BackendAnnouncements::retire(const BackendIncarnation &incarnation) -> void
 {
-    keepLast(m_retired, life);
+    appendBounded(m_retired, incarnation);
 }
 
-/// A node that has just started may hear a late announcement of a dead server after the first one of the living, and take
-/// the dead for the newer; and a clock that was set back lets a new life seem earlier than the one before. Late
-/// announcements come at once when a cut ends; who announces over some time is alive.
-auto BackendAnnouncements::isBack(const Announcement &announcement, TimePoint now) -> bool
+/// A node that has just started may receive a late announcement of an ended process instance after the first one of
+/// the running instance, and regard the ended one as newer. A clock that was set back makes a new instance appear
+/// earlier than its predecessor. Late announcements arrive together when a network partition ends; an instance that
+/// announces itself over some time is running.
+auto BackendAnnouncements::isConfirmedReturn(const Announcement &announcement, TimePoint now)
+        -> bool
 {
-    /// Share of the timeout for silence: with three announcements in it, two in a row.
+    /// Fraction of the timeout that counts as silence. With three announcements in it, two in a row are needed.
     static constexpr auto ReturnDivisor = 3;
-    const auto hasLeft = std::ranges::find(m_left, announcement.life) != m_left.end();
+    const auto hasLeft = std::ranges::find(m_left, announcement.incarnation) != m_left.end();
     if (hasLeft)
         return false;
-    const auto isKnown = m_returning && m_returning->life == announcement.life
-                         && m_returning->since >= m_lastHeard
-                         && m_returning->sequence < announcement.sequence;
-    if (!isKnown) {
-        m_returning = Returning{announcement.life, announcement.sequence, now};
+    const auto isSameCandidate = m_returnCandidate
+                                 && m_returnCandidate->incarnation == announcement.incarnation
+                                 && m_returnCandidate->since >= m_lastSeen
+                                 && m_returnCandidate->sequence < announcement.sequence;
+    if (!isSameCandidate) {
+        m_returnCandidate = ReturnCandidate{announcement.incarnation, announcement.sequence, now};
         return false;
     }
-    m_returning->sequence = announcement.sequence;
-    return now - m_returning->since >= m_timeout / ReturnDivisor;
+    m_returnCandidate->sequence = announcement.sequence;
+    return now - m_returnCandidate->since >= m_timeout / ReturnDivisor;
 }
 
-/// Whoever does not tell its start is not of the same make as the server that does, and must not end its service.
-auto BackendAnnouncements::isUnproven(const Announcement &announcement) const -> bool
+/// Returns whether a server without a start time would replace one that sends it. The two are of different
+/// implementations, so the former must not end the service of the latter.
+auto BackendAnnouncements::lacksStartTime(const Announcement &announcement) const -> bool
 {
-    return announcement.life.startedAtMs == 0 && m_current->life.startedAtMs > 0
+    return announcement.incarnation.startedAtMs == 0 && m_current->incarnation.startedAtMs > 0
            && m_current->state != ServingState::Left;
 }
 
-auto BackendAnnouncements::leave(const BackendLife &life, TimePoint now) -> bool
+auto BackendAnnouncements::leave(const BackendIncarnation &incarnation, TimePoint now) -> bool
 {
-    const auto isNamedAlone = life.startedAtMs == 0;
-    const auto left = isNamedAlone ? lastLifeOf(life.instance).value_or(life) : life;
+    const auto hasOnlyName = incarnation.startedAtMs == 0;
+    const auto left = hasOnlyName ? lastIncarnationOf(incarnation.instance).value_or(incarnation)
+                                  : incarnation;
     retire(left);
-    keepLast(m_left, left);
-    if (!m_current || m_current->life != left || m_current->state == ServingState::Left)
+    appendBounded(m_left, left);
+    if (!m_current || m_current->incarnation != left || m_current->state == ServingState::Left)
         return false;
-    m_lastHeard = now;
+    m_lastSeen = now;
     m_current->state = ServingState::Left;
     return true;
 }
 
-auto BackendAnnouncements::take(const Announcement &announcement, TimePoint now) -> bool
+auto BackendAnnouncements::receive(const Announcement &announcement, TimePoint now) -> bool
 {
-    const auto isReturn = isPast(announcement.life) && isBack(announcement, now);
+    const auto isReturn =
+            hasEnded(announcement.incarnation) && isConfirmedReturn(announcement, now);
     if (isReturn)
-        std::erase(m_retired, announcement.life);
+        std::erase(m_retired, announcement.incarnation);
     if (!isReturn && isOutdated(announcement))
         return false;
-    const auto isNewLife = m_current && !announcement.life.instance.empty()
-                           && m_current->life != announcement.life;
-    if (isNewLife && isUnproven(announcement))
-        throw AnnouncementError(
-                "announcement: '" + announcement.life.instance
-                        + "' does not tell when it started, but '" + m_current->life.instance
-                        + "', which serves here, does",
-                "tell the time of the start, as the backend server of this host does");
-    if (isNewLife) {
-        retire(m_current->life);
+    const auto isNewInstance = m_current && !announcement.incarnation.instance.empty()
+                               && m_current->incarnation != announcement.incarnation;
+    if (isNewInstance && lacksStartTime(announcement))
+        throw AnnouncementError("announcement: '" + announcement.incarnation.instance
+                                        + "' sends no start time, but '"
+                                        + m_current->incarnation.instance
+                                        + "', which serves here, does",
+                                "send the start time, as the backend server of this host does");
+    if (isNewInstance) {
+        retire(m_current->incarnation);
         m_current.reset();
     }
-    const auto isOccupied = m_current && m_current->state != ServingState::Left;
+    const auto hasActiveServer = m_current && m_current->state != ServingState::Left;
     const auto isSame = m_current && m_current->service == announcement.service
                         && m_current->port == announcement.port;
-    if (isOccupied && !isSame)
+    if (hasActiveServer && !isSame)
         throw AnnouncementError(
                 "announcement: this host already has the backend server '" + m_current->service
                         + "' on port " + std::to_string(m_current->port),
                 "stop that one or announce it as left first; a host has one backend server");
     auto next = announcement;
-    next.state = stateThatCounts(announcement.state);
-    const auto isChange = isNewLife || !isSame || m_current->state != next.state
+    next.state = effectiveState(announcement.state);
+    const auto isChange = isNewInstance || !isSame || m_current->state != next.state
                           || m_current->slots != next.slots;
-    m_lastHeard = now;
+    m_lastSeen = now;
     m_current = std::move(next);
     return isChange;
 }
 
 auto BackendAnnouncements::tick(TimePoint now) -> bool
 {
-    if (!m_current || m_current->state == ServingState::Left || now - m_lastHeard < m_timeout)
+    if (!m_current || m_current->state == ServingState::Left || now - m_lastSeen < m_timeout)
         return false;
     m_current->state = ServingState::Left;
     return true;
@@ -148,7 +156,7 @@
     if (!m_current)
         return false;
     const auto before = m_current->state;
-    m_current->state = stateThatCounts(before);
+    m_current->state = effectiveState(before);
     return m_current->state != before;
 }
 
--- a/source/node/NodeBoard.h
+++ b/source/node/NodeBoard.h
@@ -26,7 +26,7 @@
     std::uint32_t slots = 0;
     membership::ServingState state = membership::ServingState::Starting;
     std::string address = "127.0.0.1";
-    membership::BackendLife life{};
+    membership::BackendIncarnation life{};
 };
 
 /// Whether its end, or its silence, is planned.
@@ -58,7 +58,7 @@
     auto nodes = std::vector<quota::AliveNode>();
     for (const auto &it : view.members) {
         if (it.liveness != membership::Liveness::Dead && it.state != membership::ServingState::Left)
-            nodes.push_back({it.node, it.start});
+            nodes.push_back({it.node, it.startIncarnation});
     }
     return nodes;
 }
