--- a/include/stairspur/node/CallProtocol.h
+++ b/include/stairspur/node/CallProtocol.h
@@ -35,7 +35,7 @@
     Answered,      ///< The whole answer, whatever its status.
     Failed,        ///< It ran and failed; status and body are passed on.
     Shed,          ///< The backend server says that it did not run: it is full or leaves.
-    Spoilt,        ///< It claims success, but cannot be the backend server's whole answer.
+    Damaged,       ///< It claims success, but cannot be the backend server's whole answer.
     WrongInstance, ///< Another backend server has the address; it did not run.
 };
 
--- a/source/node/BackendAnswer.cpp
+++ b/source/node/BackendAnswer.cpp
@@ -32,7 +32,7 @@
         return {Outcome::Failed, Reason::BackendFailed, Completion::Failed};
     case ResponseKind::Shed:
         return {Outcome::NotRun, Reason::BackendShed, Completion::Shed};
-    case ResponseKind::Spoilt:
+    case ResponseKind::Damaged:
         return {Outcome::Unknown, Reason::DamagedAnswer, Completion::Failed};
     case ResponseKind::WrongInstance:
         break;
--- a/tests/platform/TestCallHeaders.cpp
+++ b/tests/platform/TestCallHeaders.cpp
@@ -189,7 +189,7 @@
         ResponseKind kind;
     } const cases[] = {
             {200, false, true, ResponseKind::Answered},
-            {200, false, false, ResponseKind::Spoilt},
+            {200, false, false, ResponseKind::Damaged},
             {404, false, true, ResponseKind::Answered},
             {500, false, true, ResponseKind::Failed},
             {503, true, false, ResponseKind::Shed},
