--- a/include/stairspur/node/CallProtocol.h
+++ b/include/stairspur/node/CallProtocol.h
@@ -47,7 +47,7 @@
     std::function<RoutedRequest(transport::HttpRequest)> readRequest;
     /// Whether a field of a backend server's response goes back to the caller. One that does not, or that the entry knows
     /// itself, is not sent between failure domains either.
-    std::function<bool(std::string_view field)> isAnswerField;
+    std::function<bool(std::string_view field)> isForwardedField;
     /// The response to the caller's attempt `attemptId`; never withheld.
     std::function<transport::HttpResponse(transport::CallAnswer, const std::string &attemptId)>
             writeAnswer;
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -133,7 +133,7 @@
         return headers;
     auto kept = transport::HeaderList();
     for (auto &it : transport::endToEndFields(headers)) {
-        if (m_protocol->isAnswerField(it.name))
+        if (m_protocol->isForwardedField(it.name))
             kept.add(std::move(it.name), std::move(it.value));
     }
     return kept;
--- a/tests/platform/TestCallHeaders.cpp
+++ b/tests/platform/TestCallHeaders.cpp
@@ -173,10 +173,10 @@
 Test(CallHeaders, whatTheEntryKnowsIsNotSentBackToIt)
 {
     const auto calls = platformCalls();
-    cr_assert(!calls.isAnswerField("x-attempt-id"));
-    cr_assert(!calls.isAnswerField("X-Server-Load"));
-    cr_assert(calls.isAnswerField("X-Server-Seal"));
-    cr_assert(calls.isAnswerField("Content-Type"));
+    cr_assert(!calls.isForwardedField("x-attempt-id"));
+    cr_assert(!calls.isForwardedField("X-Server-Load"));
+    cr_assert(calls.isForwardedField("X-Server-Seal"));
+    cr_assert(calls.isForwardedField("Content-Type"));
 }
 
 Test(CallHeaders, onlyTheBackendServersWordSaysThatItDidNotRun)
