--- a/source/node/ByClass.h
+++ b/source/node/MetricsByClass.h
@@ -15,10 +15,10 @@
 /// The same metrics once for each service class. Belongs to one thread: a class is looked up without a lock, and only
 /// its first call asks the registry. Configurations have a handful of classes, so a list is searched.
 template <typename Metrics>
-class ByClass
+class MetricsByClass
 {
 public:
-    explicit ByClass(metrics::Registry &registry)
+    explicit MetricsByClass(metrics::Registry &registry)
         : m_registry(registry)
     {}
 
--- a/source/node/NodeMetrics.h
+++ b/source/node/NodeMetrics.h
@@ -9,7 +9,7 @@
 #include <stairspur/retry/RetryPolicy.h>
 #include <stairspur/routing/UpstreamPool.h>
 
-#include "ByClass.h"
+#include "MetricsByClass.h"
 
 namespace stairspur::node {
 
@@ -70,8 +70,8 @@
     metrics::LatencyHistogram &m_gateWait;
     metrics::LatencyHistogram &m_gateAdded;
     metrics::LatencyHistogram &m_backendLatency;
-    ByClass<EntryClass> m_entryClasses;
-    ByClass<GateClass> m_gateClasses;
+    MetricsByClass<EntryClass> m_entryClasses;
+    MetricsByClass<GateClass> m_gateClasses;
 };
 
 } // namespace stairspur::node
