--- a/source/node/FloorTeller.cpp
+++ b/source/node/FloorTeller.cpp
@@ -79,7 +79,7 @@
     for (const auto &it : m_observedCalls.paths(now)) {
         auto floor = LowestLevel;
         for (const auto &call : it.calls)
-            floor = std::max(floor, m_floorAt(call, m_observedCalls.leastRank(), now));
+            floor = std::max(floor, m_floorAt(call, m_observedCalls.leastImportantRank(), now));
         if (floor > LowestLevel)
             floors.push_back({it.path, floor});
     }
--- a/source/node/ObservedCalls.cpp
+++ b/source/node/ObservedCalls.cpp
@@ -7,7 +7,7 @@
 auto ObservedCalls::didCall(FloorKey of, const DeeperCall &call, std::uint32_t ordinal,
                             TimePoint now) -> void
 {
-    m_leastRank = std::max(m_leastRank, of.rank);
+    m_leastImportantRank = std::max(m_leastImportantRank, of.rank);
     auto &seen = m_seen[of.path][call];
     seen.lastCall = now;
     if (ordinal < seen.mostCalls && now - seen.mostSeenAt < Memory)
--- a/source/node/ObservedCalls.h
+++ b/source/node/ObservedCalls.h
@@ -44,7 +44,7 @@
     [[nodiscard]] auto paths(TimePoint now) const -> std::vector<Path>;
 
     /// The least important class that has made calls lately: its floors hold for all that are observed.
-    [[nodiscard]] auto leastRank() const -> ClassRank { return m_leastRank; }
+    [[nodiscard]] auto leastImportantRank() const -> ClassRank { return m_leastImportantRank; }
 
 private:
     /// Long enough for a path that is refused for a while to be remembered, short enough for a new version of the
@@ -59,7 +59,7 @@
     };
 
     std::unordered_map<PathKey, std::map<DeeperCall, Seen>> m_seen;
-    ClassRank m_leastRank = 0;
+    ClassRank m_leastImportantRank = 0;
 };
 
 } // namespace stairspur::node
--- a/tests/node/TestObservedCalls.cpp
+++ b/tests/node/TestObservedCalls.cpp
@@ -22,7 +22,7 @@
     cr_assert(paths[0].calls == (std::vector<DeeperCall>{{"kitchen", 44}, {"maps", 33}}));
     cr_assert_eq(paths[1].path, 22);
     cr_assert(paths[1].calls == (std::vector<DeeperCall>{{"maps", 33}}));
-    cr_assert_eq(calls.leastRank(), 2);
+    cr_assert_eq(calls.leastImportantRank(), 2);
 }
 
 Test(ObservedCalls, whatIsNotCalledForAWhileIsForgotten)
