--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -197,7 +197,7 @@
         m_keyedRouter.setConfiguration(index->configuration());
 }
 
-auto Entry::place(CallRequest request, CancellationPtr cancellation) -> Task<CallAnswer>
+auto Entry::executeKeyed(CallRequest request, CancellationPtr cancellation) -> Task<CallAnswer>
 {
     auto call = IncomingCall();
     call.deadline = monotonicNow() + request.remaining;
--- a/source/node/Entry.h
+++ b/source/node/Entry.h
@@ -61,7 +61,7 @@
 
     /// Has a call whose key is bound executed once, by whichever upstream of its service takes it. It is sent to another
     /// one only after a proven `not-run`.
-    auto place(transport::CallRequest request, transport::CancellationPtr cancellation)
+    auto executeKeyed(transport::CallRequest request, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
 
 private:
--- a/source/node/Node.cpp
+++ b/source/node/Node.cpp
@@ -215,8 +215,8 @@
     if (cancellation)
         cancellation->onCancel(
                 [&entryIo, onEntry] { asio::post(entryIo, [onEntry] { onEntry->cancel(); }); });
-    auto answer = co_await asio::co_spawn(entryIo, m_entry.place(std::move(request), onEntry),
-                                          asio::use_awaitable);
+    auto answer = co_await asio::co_spawn(
+            entryIo, m_entry.executeKeyed(std::move(request), onEntry), asio::use_awaitable);
     if (cancellation)
         cancellation->onCancel(nullptr);
     co_return answer;
--- a/tests/node/CallPathHarness.h
+++ b/tests/node/CallPathHarness.h
@@ -189,8 +189,8 @@
         transport::asio::co_spawn(
                 io,
                 [this, index, call = std::move(call)]() mutable -> transport::Task<void> {
-                    auto answer = co_await entry.place(std::move(call),
-                                                       std::make_shared<transport::Cancellation>());
+                    auto answer = co_await entry.executeKeyed(
+                            std::move(call), std::make_shared<transport::Cancellation>());
                     responses[index] = responseFor(std::move(answer));
                     --waiting;
                 },
