--- a/source/node/Gate.h
+++ b/source/node/Gate.h
@@ -23,7 +23,7 @@
 #include "NodeMetrics.h"
 #include "QuarantineKeeper.h"
 #include "RunningCalls.h"
-#include "TrialLane.h"
+#include "SuspectedCallLane.h"
 
 namespace stairspur::node {
 
@@ -108,7 +108,7 @@
     ClientPtr m_client;
     QuarantineKeeper &m_quarantine;
     CrashWatch m_crashes;
-    TrialLane m_trials;
+    SuspectedCallLane m_trials;
     std::unordered_map<CallId, std::shared_ptr<Waiter>> m_waiters;
     transport::Timer m_ticker;
     bool m_isTicking = false;
--- a/source/node/TrialLane.cpp
+++ b/source/node/SuspectedCallLane.cpp
@@ -1,4 +1,4 @@
-#include "TrialLane.h"
+#include "SuspectedCallLane.h"
 
 #include <utility>
 
@@ -16,23 +16,23 @@
 /// Each takes the time of a run; who came after so many would hardly be in time.
 static constexpr auto MostWaiting = std::uint32_t{32};
 
-TrialLane::Turn::Turn(std::shared_ptr<bool> isBusy)
+SuspectedCallLane::Permit::Permit(std::shared_ptr<bool> isBusy)
     : m_isBusy(std::move(isBusy))
 {
     *m_isBusy = true;
 }
 
-TrialLane::Turn::~Turn()
+SuspectedCallLane::Permit::~Permit()
 {
     if (m_isBusy)
         *m_isBusy = false;
 }
 
-auto TrialLane::enter(TimePoint deadline, transport::CancellationPtr cancellation)
-        -> transport::Task<Turn>
+auto SuspectedCallLane::enter(TimePoint deadline, transport::CancellationPtr cancellation)
+        -> transport::Task<Permit>
 {
     if (m_waiting >= MostWaiting)
-        co_return Turn();
+        co_return Permit();
     ++m_waiting;
     while (*m_isBusy && monotonicNow() < deadline && !cancellation->isCancelled()) {
         auto timer = transport::Timer(m_io, LookInterval);
@@ -40,8 +40,8 @@
     }
     --m_waiting;
     if (*m_isBusy || cancellation->isCancelled())
-        co_return Turn();
-    co_return Turn(m_isBusy);
+        co_return Permit();
+    co_return Permit(m_isBusy);
 }
 
 } // namespace stairspur::node
--- a/source/node/TrialLane.h
+++ b/source/node/SuspectedCallLane.h
@@ -13,20 +13,20 @@
 
 /// Lets the requests that are on trial run one at a time, so that the next crash names the one that ran. Belongs to the gate's
 /// thread.
-class TrialLane
+class SuspectedCallLane
 {
 public:
     /// The right to run; given back when it ends. Empty: not got.
-    class Turn
+    class Permit
     {
     public:
-        Turn() = default;
-        explicit Turn(std::shared_ptr<bool> isBusy);
-        ~Turn();
-        Turn(const Turn &) = delete;
-        Turn(Turn &&other) noexcept = default;
-        auto operator=(const Turn &) -> Turn & = delete;
-        auto operator=(Turn &&) -> Turn & = delete;
+        Permit() = default;
+        explicit Permit(std::shared_ptr<bool> isBusy);
+        ~Permit();
+        Permit(const Permit &) = delete;
+        Permit(Permit &&other) noexcept = default;
+        auto operator=(const Permit &) -> Permit & = delete;
+        auto operator=(Permit &&) -> Permit & = delete;
 
         explicit operator bool() const { return m_isBusy != nullptr; }
 
@@ -34,13 +34,13 @@
         std::shared_ptr<bool> m_isBusy; ///< Outlives the lane in calls that are under way.
     };
 
-    explicit TrialLane(transport::asio::io_context &io)
+    explicit SuspectedCallLane(transport::asio::io_context &io)
         : m_io(io)
     {}
 
     /// Waits for the lane to be free, until `deadline` or until nobody wants the answer any more.
     auto enter(TimePoint deadline, transport::CancellationPtr cancellation)
-            -> transport::Task<Turn>;
+            -> transport::Task<Permit>;
 
 private:
     transport::asio::io_context &m_io;
--- a/tests/node/TestTrialLane.cpp
+++ b/tests/node/TestSuspectedCallLane.cpp
@@ -4,7 +4,7 @@
 #include <boost/asio/detached.hpp>
 #include <boost/asio/executor_work_guard.hpp>
 
-#include "../../source/node/TrialLane.h"
+#include "../../source/node/SuspectedCallLane.h"
 
 // After Boost, whose headers its macros break.
 #include <criterion/criterion.h>
@@ -19,8 +19,8 @@
     asio::io_context io{1};
     /// Between two calls nothing is left to do.
     asio::executor_work_guard<asio::io_context::executor_type> work = asio::make_work_guard(io);
-    TrialLane lane{io};
-    std::vector<TrialLane::Turn> held;
+    SuspectedCallLane lane{io};
+    std::vector<SuspectedCallLane::Permit> held;
     std::vector<bool> results; ///< Whether the nth that ended got a turn.
 
     auto start(Duration patience, transport::CancellationPtr cancellation = nullptr) -> void
@@ -48,7 +48,7 @@
 
 static constexpr auto Long = Duration{3'600'000'000};
 
-Test(TrialLane, oneRunsAtATime)
+Test(SuspectedCallLane, oneRunsAtATime)
 {
     auto bench = LaneBench();
     bench.start(Long);
@@ -63,7 +63,7 @@
     cr_assert(bench.results[1]);
 }
 
-Test(TrialLane, whoseTimeIsUpOrWhomNobodyWantsGetsNoTurn)
+Test(SuspectedCallLane, whoseTimeIsUpOrWhomNobodyWantsGetsNoTurn)
 {
     auto bench = LaneBench();
     bench.start(Long);
@@ -78,7 +78,7 @@
     cr_assert(!bench.results[2]);
 }
 
-Test(TrialLane, tooManyThatWaitAreRefusedAtOnce)
+Test(SuspectedCallLane, tooManyThatWaitAreRefusedAtOnce)
 {
     static constexpr auto MostWaiting = std::size_t{32};
     auto bench = LaneBench();
@@ -90,9 +90,9 @@
 }
 
 /// A call may be destroyed with its turn after the lane is.
-Test(TrialLane, aTurnMayOutliveItsLane)
+Test(SuspectedCallLane, aTurnMayOutliveItsLane)
 {
-    auto held = std::vector<TrialLane::Turn>();
+    auto held = std::vector<SuspectedCallLane::Permit>();
     {
         auto bench = LaneBench();
         bench.start(Long);
