--- a/source/node/BackendAnswer.cpp
+++ b/source/node/BackendAnswer.cpp
@@ -11,7 +11,7 @@
 
 static constexpr auto FirstServerError = std::uint32_t{500};
 
-auto judgeResponse(const transport::HttpResponse &response) -> BackendVerdict
+auto interpretResponse(const transport::HttpResponse &response) -> BackendResult
 {
     const auto told = fromName<Outcome>(response.headers.find(header::Outcome));
     if (told == Outcome::NotRun)
@@ -23,7 +23,7 @@
     return {Outcome::Answered, Reason::None, Completion::Succeeded};
 }
 
-auto verdictFor(ResponseKind kind) -> BackendVerdict
+auto resultFor(ResponseKind kind) -> BackendResult
 {
     switch (kind) {
     case ResponseKind::Answered:
@@ -40,7 +40,7 @@
     return {Outcome::NotRun, Reason::WrongPlacement, Completion::Cancelled};
 }
 
-auto judgeFailure(HttpFailure failure) -> BackendVerdict
+auto interpretFailure(HttpFailure failure) -> BackendResult
 {
     switch (failure) {
     case HttpFailure::NotConnected:
--- a/source/node/BackendAnswer.h
+++ b/source/node/BackendAnswer.h
@@ -9,7 +9,7 @@
 namespace stairspur::node {
 
 /// What an attempt at the backend server means for the caller and for the concurrency limit.
-struct BackendVerdict
+struct BackendResult
 {
     Outcome outcome = Outcome::Unknown;
     Reason reason = Reason::None;
@@ -17,13 +17,13 @@
 };
 
 /// Reads a whole answer. Only the backend server's own word `Stairspur-Outcome: not-run` proves that it did not run.
-auto judgeResponse(const transport::HttpResponse &response) -> BackendVerdict;
+auto interpretResponse(const transport::HttpResponse &response) -> BackendResult;
 
 /// What a response means that was read by another protocol than the product's own.
-auto verdictFor(ResponseKind kind) -> BackendVerdict;
+auto resultFor(ResponseKind kind) -> BackendResult;
 
 /// Reads an attempt that has no whole answer.
-auto judgeFailure(transport::HttpFailure failure) -> BackendVerdict;
+auto interpretFailure(transport::HttpFailure failure) -> BackendResult;
 
 /// The request that the gate sends for `call`.
 auto backendRequest(transport::CallRequest call, CallId id, Duration remaining)
--- a/source/node/CrashWatch.cpp
+++ b/source/node/CrashWatch.cpp
@@ -25,7 +25,7 @@
 }
 
 auto CrashWatch::didEnd(CallId id, quarantine::RequestFingerprint request,
-                        const BackendVerdict &verdict, std::optional<HttpFailure> failure,
+                        const BackendResult &verdict, std::optional<HttpFailure> failure,
                         const LocalBackend &backend) -> Task<void>
 {
     const auto isWhole =
--- a/source/node/CrashWatch.h
+++ b/source/node/CrashWatch.h
@@ -37,7 +37,7 @@
     }
 
     /// A call has ended at `backend`, which is the present one; `failure`: it has no answer.
-    auto didEnd(CallId id, quarantine::RequestFingerprint request, const BackendVerdict &verdict,
+    auto didEnd(CallId id, quarantine::RequestFingerprint request, const BackendResult &verdict,
                 std::optional<transport::HttpFailure> failure, const LocalBackend &backend)
             -> transport::Task<void>;
 
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -139,11 +139,11 @@
     return kept;
 }
 
-auto Gate::judge(const transport::HttpResponse &response) const -> BackendVerdict
+auto Gate::judge(const transport::HttpResponse &response) const -> BackendResult
 {
     if (!m_protocol)
-        return judgeResponse(response);
-    return verdictFor(m_protocol->readBackendResponse(response));
+        return interpretResponse(response);
+    return resultFor(m_protocol->readBackendResponse(response));
 }
 
 auto Gate::reasonToRefuse(const CallRequest &request) const -> Reason
@@ -274,7 +274,7 @@
 
 /// What the limit learns from a call. One that was held up by its own deeper calls says nothing about this backend server:
 /// counted as its failure, it would shrink the limits of all services above an overloaded one.
-static auto completionOf(const BackendVerdict &verdict, const ClosedCall &closed)
+static auto completionOf(const BackendResult &verdict, const ClosedCall &closed)
         -> admission::Completion
 {
     const auto isTrouble = verdict.completion == admission::Completion::Failed
@@ -295,7 +295,7 @@
                    request.retryBudget, request.isRepeat);
     const auto client = m_client; // A newer backend server must not end this call's connections.
     auto answer = CallAnswer();
-    auto verdict = BackendVerdict();
+    auto verdict = BackendResult();
     auto failure = std::optional<transport::HttpFailure>();
     m_crashes.didSend(id, fingerprint);
     try {
@@ -310,7 +310,7 @@
         }
     } catch (const transport::HttpClientError &error) {
         failure = error.failure();
-        verdict = judgeFailure(error.failure());
+        verdict = interpretFailure(error.failure());
     }
     co_await m_crashes.didEnd(id, fingerprint, verdict, failure, m_backend);
     // It ended the last backend server that it was to end: nobody may send it on.
--- a/source/node/Gate.h
+++ b/source/node/Gate.h
@@ -71,7 +71,7 @@
     [[nodiscard]] auto writeRequest(transport::CallRequest request, CallId id,
                                     Duration remaining) const -> transport::HttpRequest;
     [[nodiscard]] auto answerHeaders(transport::HeaderList headers) const -> transport::HeaderList;
-    [[nodiscard]] auto judge(const transport::HttpResponse &response) const -> BackendVerdict;
+    [[nodiscard]] auto judge(const transport::HttpResponse &response) const -> BackendResult;
     [[nodiscard]] auto reasonToRefuse(const transport::CallRequest &request) const -> Reason;
     auto waitForPlace(CallId id, admission::CallOffer offer,
                       transport::CancellationPtr cancellation)
--- a/tests/node/TestBackendAnswer.cpp
+++ b/tests/node/TestBackendAnswer.cpp
@@ -30,7 +30,7 @@
         auto response = transport::HttpResponse{.status = it.status};
         if (*it.outcome)
             response.headers.set("Stairspur-Outcome", it.outcome);
-        const auto verdict = judgeResponse(response);
+        const auto verdict = interpretResponse(response);
         cr_expect(verdict.outcome == it.expected, "%u %s", it.status, it.outcome);
         cr_expect(verdict.completion == it.completion, "%u %s", it.status, it.outcome);
     }
@@ -38,9 +38,9 @@
 
 Test(BackendAnswer, anAttemptThatWasSentIsNeverNotRun)
 {
-    cr_assert(judgeFailure(HttpFailure::NotConnected).outcome == Outcome::NotRun);
+    cr_assert(interpretFailure(HttpFailure::NotConnected).outcome == Outcome::NotRun);
     for (const auto it : {HttpFailure::TimedOut, HttpFailure::Cancelled, HttpFailure::Broken})
-        cr_assert(judgeFailure(it).outcome == Outcome::Unknown);
+        cr_assert(interpretFailure(it).outcome == Outcome::Unknown);
 }
 
 Test(BackendAnswer, requestCarriesCallDeadlineTraceAndKey)
