--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -279,8 +279,8 @@
 {
     const auto isTrouble = verdict.completion == admission::Completion::Failed
                            || verdict.completion == admission::Completion::TimedOut;
-    return isTrouble && closed.wasHeldUpBelow ? admission::Completion::Cancelled
-                                              : verdict.completion;
+    return isTrouble && closed.hadUnansweredDeeperCall ? admission::Completion::Cancelled
+                                                       : verdict.completion;
 }
 
 auto Gate::dispatch(CallId id, CallRequest request, Fingerprint fingerprint, TimePoint deadline,
@@ -322,7 +322,7 @@
     answer.wasDispatched = verdict.outcome != Outcome::NotRun;
     const auto closed = m_running.close(id);
     answer.unspentBudget = closed.unspentBudget;
-    if (verdict.outcome == Outcome::Failed && closed.wasHeldUpBelow)
+    if (verdict.outcome == Outcome::Failed && closed.hadUnansweredDeeperCall)
         answer.reason = Reason::DeeperCallFailed;
     apply(m_admission->didComplete(id, completionOf(verdict, closed), now - start, now, m_random));
     if (verdict.outcome == Outcome::NotRun)
--- a/source/node/RunningCalls.cpp
+++ b/source/node/RunningCalls.cpp
@@ -54,7 +54,7 @@
         const auto it = m_records.find(id);
         if (it == m_records.end())
             return closed;
-        closed.wasHeldUpBelow = it->second.hasFailedChild || !it->second.children.empty();
+        closed.hadUnansweredDeeperCall = it->second.hasFailedChild || !it->second.children.empty();
         children = std::move(it->second.children);
         m_records.erase(it);
         closed.unspentBudget = m_ledger.close(id);
--- a/source/node/RunningCalls.h
+++ b/source/node/RunningCalls.h
@@ -43,7 +43,7 @@
 struct ClosedCall
 {
     std::uint32_t unspentBudget = 0;
-    bool wasHeldUpBelow = false; ///< A deeper call had no answer, or still ran.
+    bool hadUnansweredDeeperCall = false; ///< A deeper call had no answer, or still ran.
 };
 
 /// The calls that run at this host's backend server. The gate writes it; the entry asks it when a backend server makes a
--- a/tests/node/TestCallIntake.cpp
+++ b/tests/node/TestCallIntake.cpp
@@ -161,7 +161,7 @@
     const auto second = running.addChild(1, 11, NoPath, [&] { ++cancelled; });
     cr_assert_eq(first.budget + second.budget, 3);
     running.removeChild(1, 11, second.budget, true);
-    cr_assert(running.close(1).wasHeldUpBelow, "a child still runs");
+    cr_assert(running.close(1).hadUnansweredDeeperCall, "a child still runs");
     cr_assert_eq(cancelled, 1, "only the child that still runs is cancelled");
     cr_assert(running.addChild(1, 12, NoPath, [] {}).refusal == Reason::ParentUnknown);
 }
@@ -185,7 +185,7 @@
             running.removeChild(1, 10, share.budget, it.isAnswered);
         }
         const auto closed = running.close(1);
-        cr_expect_eq(closed.wasHeldUpBelow, it.expected, "%s", it.name);
+        cr_expect_eq(closed.hadUnansweredDeeperCall, it.expected, "%s", it.name);
         cr_expect_eq(closed.unspentBudget, 4, "%s", it.name);
     }
 }
