--- a/source/node/CallIntake.cpp
+++ b/source/node/CallIntake.cpp
@@ -246,7 +246,7 @@
     call.deadline = now + readTimeout(headers, service.limits);
     if (standing.parentDeadline)
         call.deadline = std::min(call.deadline, *standing.parentDeadline);
-    call.needsFreshKey = !call.parent;
+    call.needsConfigurationProof = !call.parent;
     call.quota = standing.quota;
     call.isIdempotent = service.isIdempotent;
     call.hasDeeperCalls =
--- a/source/node/CallIntake.h
+++ b/source/node/CallIntake.h
@@ -24,7 +24,7 @@
     bool isIdempotent = true;
     bool hasDeeperCalls = false; ///< Its service calls others, as far as the call paths tell.
     /// The caller was known by a key, which may have been taken away since.
-    bool needsFreshKey = false;
+    bool needsConfigurationProof = false;
     std::optional<config::RequestQuota> quota{}; ///< Of the caller; deeper calls have none.
     PathKey parentPath = NoPath;
     std::uint32_t parentCallsPerRoot = 1; ///< Calls like the parent that the root makes.
--- a/source/node/CallerAdmission.cpp
+++ b/source/node/CallerAdmission.cpp
@@ -52,7 +52,8 @@
 auto CallerAdmission::admit(const IncomingCall &call, const ConfigurationProof &proof)
         -> Task<CallerDecision>
 {
-    if (call.needsFreshKey && !isProofFresh(proof, m_settings.revocationBound, monotonicNow()))
+    if (call.needsConfigurationProof
+        && !isProofFresh(proof, m_settings.revocationBound, monotonicNow()))
         co_return CallerDecision{Reason::StaleConfiguration,
                                  "this host cannot tell whether the key still holds; come back, or "
                                  "ask another host",
--- a/source/node/RoutedIntake.cpp
+++ b/source/node/RoutedIntake.cpp
@@ -108,7 +108,7 @@
     if (caller) {
         call.request.caller = caller->name;
         call.quota = caller->quota;
-        call.needsFreshKey = true;
+        call.needsConfigurationProof = true;
     }
     call.request.className = ownClass.name;
     call.request.root = rootIdOf(request.rootAttemptId);
--- a/tests/node/TestRoutedIntake.cpp
+++ b/tests/node/TestRoutedIntake.cpp
@@ -191,7 +191,7 @@
         cr_expect_eq(call.request.caller, "kitchen");
         cr_expect_eq(call.request.className, "views",
                      "the caller's second class, as the route says");
-        cr_expect(call.needsFreshKey);
+        cr_expect(call.needsConfigurationProof);
         cr_expect(call.quota == (config::RequestQuota{5, 2}));
     }
     auto request = makeRequest("/p/1");
@@ -208,7 +208,7 @@
     request.keySha256 = "k1";
     const auto call = intake.route(request);
     cr_assert_eq(call.request.caller, "");
-    cr_assert(!call.needsFreshKey);
+    cr_assert(!call.needsConfigurationProof);
     cr_assert(!call.quota);
 }
 
@@ -247,6 +247,6 @@
     deeper.parentAttemptId = "root";
     const auto call = intake.route(deeper);
     cr_assert_eq(call.request.caller, "kitchen");
-    cr_assert(!call.needsFreshKey, "it goes on when the key is taken away meanwhile");
+    cr_assert(!call.needsConfigurationProof, "it goes on when the key is taken away meanwhile");
     cr_assert(!call.quota);
 }
