--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -162,8 +162,8 @@
     else if (isRefused)
         answer = finalRefusal(attempts, share.refusal, Duration::zero());
     else
-        answer = co_await attemptUntilFinal(call, m_routes.of(call.request.service), attempts,
-                                            cancellation);
+        answer = co_await attemptUntilFinal(call, m_routes.routesFor(call.request.service),
+                                            attempts, cancellation);
     answer.unspentBudget = attempts.budget.remaining();
     co_return answer;
 }
@@ -206,7 +206,7 @@
         call.hasDeeperCalls = !index->deeperServices(request.service, request.level.rank()).empty();
     auto attempts = Attempts{.budget = retry::CallBudget(request.retryBudget, request.isRepeat)};
     call.request = std::move(request);
-    auto &routes = m_routes.of(call.request.service);
+    auto &routes = m_routes.routesFor(call.request.service);
     auto answer = co_await attemptUntilFinal(call, routes, attempts, cancellation);
     answer.unspentBudget = attempts.budget.remaining();
     co_return answer;
--- a/source/node/ServiceRouteTable.cpp
+++ b/source/node/ServiceRouteTable.cpp
@@ -5,7 +5,7 @@
 
 namespace stairspur::node {
 
-auto ServiceRouteTable::of(const std::string &service) -> ServiceRoutes &
+auto ServiceRouteTable::routesFor(const std::string &service) -> ServiceRoutes &
 {
     const auto it = m_routes.find(service);
     if (it != m_routes.end())
--- a/source/node/ServiceRouteTable.h
+++ b/source/node/ServiceRouteTable.h
@@ -34,7 +34,7 @@
     {}
 
     /// The routes of a service; made when it is first asked for. They stay where they are.
-    auto of(const std::string &service) -> ServiceRoutes &;
+    auto routesFor(const std::string &service) -> ServiceRoutes &;
 
     /// Takes a newer view of the members over.
     auto refreshMembers(ServiceRoutes &routes) -> void;
