--- a/source/node/CallIntake.cpp
+++ b/source/node/CallIntake.cpp
@@ -18,7 +18,7 @@
 static constexpr auto HexBase = 16;
 
 /// Where a call's class may come from.
-struct Standing
+struct CallOrigin
 {
     std::string caller;
     const config::PriorityClass *priorityClass = nullptr;
@@ -100,10 +100,10 @@
 
 static auto standingOfCaller(const transport::HeaderList &headers,
                              const config::ConfigurationIndex &configuration, Random &random)
-        -> Standing
+        -> CallOrigin
 {
     const auto &caller = findCaller(headers, configuration);
-    auto standing = Standing();
+    auto standing = CallOrigin();
     standing.caller = caller.name;
     standing.quota = caller.quota;
     standing.priorityClass = chooseClass(caller, headers.find(header::Class), configuration);
@@ -132,7 +132,7 @@
 
 static auto standingOfParent(CallId parentId, const transport::HeaderList &headers,
                              const config::ConfigurationIndex &configuration,
-                             const RunningCalls &running) -> Standing
+                             const RunningCalls &running) -> CallOrigin
 {
     const auto parent = running.find(parentId);
     if (!parent) {
@@ -141,7 +141,7 @@
                            "repeat the header of the call that you are answering, and stop work "
                            "for calls that were cancelled");
     }
-    auto standing = Standing();
+    auto standing = CallOrigin();
     standing.caller = parent->caller;
     standing.priorityClass = lowerClass(*parent, headers.find(header::Class), configuration);
     standing.root = parent->root;
