--- a/include/stairspur/node/CallProtocol.h
+++ b/include/stairspur/node/CallProtocol.h
@@ -13,54 +13,56 @@
 
 namespace stairspur::node {
 
-/// A request of a caller or of this host's backend server that is routed by host and path, its header fields decoded.
+/// A request of a caller or of this host's backend server that is routed by host and path, with decoded header fields.
 struct RoutedRequest
 {
-    std::string attemptId;       ///< The caller's name for this attempt; each attempt has its own.
-    std::string parentAttemptId; ///< Of the running call that makes this one; empty: from outside.
+    std::string attemptId; ///< The caller's id of this attempt; unique for each attempt.
     std::string
-            rootAttemptId; ///< Of the outside request that this call is made for; may be attemptId.
-    std::string keySha256; ///< Of the caller's key; empty: the request has none that counts.
-    std::optional<Duration> remaining; ///< How long the caller still waits.
-    std::string host;                  ///< Without a port.
-    std::string path;                  ///< Of the target, without its query.
+            parentAttemptId; ///< Attempt id of the running call that makes this one; empty for a request from outside.
+    std::string
+            rootAttemptId; ///< Attempt id of the outside request that this call is made for; may be attemptId.
+    std::string
+            keySha256; ///< SHA-256 of the caller's key; empty if the request has no valid key field.
+    std::optional<Duration> remaining; ///< Time for which the caller still waits.
+    std::string host;                  ///< Host name without a port.
+    std::string path;                  ///< Path of the target, without the query.
     std::string method;
     std::string target;
-    transport::HeaderList headers; ///< Those that are passed on as they are.
+    transport::HeaderList headers; ///< Fields that are forwarded unchanged.
     std::string body;
 };
 
-/// What a backend server's response says of the attempt.
+/// Kinds of responses of a backend server to an attempt.
 enum class ResponseKind {
-    Answered,      ///< The whole answer, whatever its status.
-    Failed,        ///< It ran and failed; status and body are passed on.
-    Shed,          ///< The backend server says that it did not run: it is full or leaves.
-    Damaged,       ///< It claims success, but cannot be the backend server's whole answer.
-    WrongInstance, ///< Another backend server has the address; it did not run.
+    Answered, ///< A complete response of any status.
+    Failed,   ///< The attempt ran and failed; status and body are forwarded.
+    Shed, ///< The backend server reports that the attempt did not run, because it is full or leaving.
+    Damaged, ///< The response reports success but is not the backend server's complete response.
+    WrongInstance, ///< Another backend server has the address; the attempt did not run.
 };
 
-/// How callers and backend servers speak where they don't speak the product's own protocol.
+/// The protocol of callers and backend servers that don't use the product's own protocol.
 struct CallProtocol
 {
-    /// A backend server runs exactly as many calls at once as it announces slots.
+    /// Whether a backend server runs exactly as many calls at once as it announces slots.
     bool areSlotsExact = false;
     std::function<RoutedRequest(transport::HttpRequest)> readRequest;
-    /// Whether a field of a backend server's response goes back to the caller. One that does not, or that the entry knows
-    /// itself, is not sent between failure domains either.
+    /// Returns whether a field of a backend server's response is forwarded to the caller. Fields that are not forwarded, or
+    /// that the entry writes itself, are not sent between failure domains either.
     std::function<bool(std::string_view field)> isForwardedField;
-    /// The response to the caller's attempt `attemptId`; never withheld.
+    /// Returns the response to the caller's attempt `attemptId`. Every attempt gets one.
     std::function<transport::HttpResponse(transport::CallAnswer, const std::string &attemptId)>
             writeAnswer;
-    /// The response to a request that is no call, or that this node cannot serve now.
+    /// Returns the response to a request that is not a valid call, or that this node cannot serve now.
     std::function<transport::HttpResponse(Reason reason, const std::string &detail,
                                           Duration retryAfter)>
             writeRefusal;
-    /// The request for the backend server `instance`, which may be empty.
+    /// Returns the request to the backend server `instance`, which may be empty.
     std::function<transport::HttpRequest(transport::CallRequest call, Duration remaining,
                                          const std::string &instance)>
             writeBackendRequest;
     std::function<ResponseKind(const transport::HttpResponse &)> readBackendResponse;
-    /// Whether a response on a backend server's connection belongs to the request.
+    /// Returns whether a response on a backend server's connection belongs to the request.
     std::function<bool(const transport::HttpRequest &, const transport::HttpResponse &)> isAnswerTo;
 };
 
--- a/include/stairspur/node/CallRejected.h
+++ b/include/stairspur/node/CallRejected.h
@@ -7,7 +7,7 @@
 
 namespace stairspur::node {
 
-/// A request that is no call: it ran nowhere. The message says what to send instead.
+/// Thrown for a request that is not a valid call. It ran nowhere; the remedy describes what to send instead.
 class CallRejected : public Error
 {
 public:
--- a/source/node/BackendAnswer.cpp
+++ b/source/node/BackendAnswer.cpp
@@ -13,10 +13,10 @@
 
 auto interpretResponse(const transport::HttpResponse &response) -> BackendResult
 {
-    const auto told = fromName<Outcome>(response.headers.find(header::Outcome));
-    if (told == Outcome::NotRun)
+    const auto reportedOutcome = fromName<Outcome>(response.headers.find(header::Outcome));
+    if (reportedOutcome == Outcome::NotRun)
         return {Outcome::NotRun, Reason::BackendShed, Completion::Shed};
-    if (told == Outcome::Unknown)
+    if (reportedOutcome == Outcome::Unknown)
         return {Outcome::Unknown, Reason::BackendFailed, Completion::Failed};
     if (response.status >= FirstServerError)
         return {Outcome::Failed, Reason::BackendFailed, Completion::Failed};
@@ -55,8 +55,8 @@
     return {Outcome::Unknown, Reason::BackendFailed, Completion::Failed};
 }
 
-/// A child span of the root's trace. Backend servers pass traceparent on to everybody that they call and to trace
-/// collectors, so that its parent id must not be the call's id, which is a credential: it is derived from it one way.
+/// Returns a `traceparent` header with a child span of the root's trace. Backend servers forward it to the servers that they
+/// call and to trace collectors. Its parent id is a one-way hash of the call's id, because the call's id is a credential.
 static auto traceParent(const RootId &root, CallId id) -> std::string
 {
     static constexpr auto ParentIdLength = std::size_t{16};
--- a/source/node/BackendAnswer.h
+++ b/source/node/BackendAnswer.h
@@ -8,7 +8,7 @@
 
 namespace stairspur::node {
 
-/// What an attempt at the backend server means for the caller and for the concurrency limit.
+/// The result of an attempt at the backend server, for the caller and for the concurrency limit.
 struct BackendResult
 {
     Outcome outcome = Outcome::Unknown;
@@ -16,16 +16,17 @@
     admission::Completion completion = admission::Completion::Succeeded;
 };
 
-/// Reads a whole answer. Only the backend server's own word `Stairspur-Outcome: not-run` proves that it did not run.
+/// Returns the result of a complete response. Only the backend server's header `Stairspur-Outcome: not-run` proves that the
+/// attempt did not run.
 auto interpretResponse(const transport::HttpResponse &response) -> BackendResult;
 
-/// What a response means that was read by another protocol than the product's own.
+/// Returns the result of a response that was read by another protocol than the product's own.
 auto resultFor(ResponseKind kind) -> BackendResult;
 
-/// Reads an attempt that has no whole answer.
+/// Returns the result of an attempt without a complete response.
 auto interpretFailure(transport::HttpFailure failure) -> BackendResult;
 
-/// The request that the gate sends for `call`.
+/// Returns the request that the gate sends to the backend server for `call`.
 auto backendRequest(transport::CallRequest call, CallId id, Duration remaining)
         -> transport::HttpRequest;
 
--- a/source/node/CallIdSource.cpp
+++ b/source/node/CallIdSource.cpp
@@ -16,7 +16,7 @@
             throw Error("the system's random source is not available", "check /dev/urandom");
         m_left = BatchSize;
     }
-    return std::exchange(m_batch[--m_left], 0); // A spent id is not kept.
+    return std::exchange(m_batch[--m_left], 0); // Erases the used id from the batch.
 }
 
 } // namespace stairspur::node
--- a/source/node/CallIdSource.h
+++ b/source/node/CallIdSource.h
@@ -7,8 +7,8 @@
 
 namespace stairspur::node {
 
-/// Where the ids of dispatched calls come from. Whoever knows the id of a running call may make deeper calls in its name,
-/// so that ids are a secret between gate and backend server; tests inject ids that they know.
+/// Generates the ids of dispatched calls. The id of a running call authorizes deeper calls in its name, so ids are a secret
+/// between gate and backend server. Tests inject predictable ids.
 class CallIdSource
 {
 public:
@@ -19,20 +19,20 @@
     auto operator=(const CallIdSource &) -> CallIdSource & = delete;
     auto operator=(CallIdSource &&) -> CallIdSource & = delete;
 
-    /// An id that this source has not given before.
+    /// Returns an id that this source has not returned before.
     virtual auto next() -> CallId = 0;
 };
 
-/// Ids from OpenSSL's random generator: ids that were seen tell nothing of those to come. (The decisions' generator, a
-/// Mersenne Twister, can be computed from 312 of its numbers.) Belongs to one thread. Throws Error when there is no
-/// randomness.
+/// Generates ids with OpenSSL's random generator, so that later ids cannot be predicted from earlier ones. (The state of the
+/// decisions' generator, a Mersenne Twister, can be computed from 312 of its numbers.) Belongs to one thread. Throws Error
+/// if the random generator fails.
 class SecureCallIds : public CallIdSource
 {
 public:
     auto next() -> CallId override;
 
 private:
-    /// One request to the generator serves so many calls.
+    /// Number of ids that one request to the generator yields.
     static constexpr auto BatchSize = std::size_t{64};
 
     std::array<CallId, BatchSize> m_batch{};
--- a/source/node/EndToEndHeaders.cpp
+++ b/source/node/EndToEndHeaders.cpp
@@ -6,7 +6,7 @@
 
 namespace stairspur::node {
 
-static auto isOurs(std::string_view name) -> bool
+static auto isReservedField(std::string_view name) -> bool
 {
     using namespace transport::header;
     static constexpr auto OwnPrefix = std::string_view("Stairspur-");
@@ -19,7 +19,7 @@
 {
     auto kept = transport::HeaderList();
     for (auto &it : transport::endToEndFields(headers)) {
-        if (!isOurs(it.name))
+        if (!isReservedField(it.name))
             kept.add(std::move(it.name), std::move(it.value));
     }
     return kept;
--- a/source/node/EndToEndHeaders.h
+++ b/source/node/EndToEndHeaders.h
@@ -4,8 +4,8 @@
 
 namespace stairspur::node {
 
-/// The fields of `headers` that belong to the message, not to one connection (RFC 9110, section 7.6.1), less those that
-/// stairspur itself reads and writes.
+/// Returns the end-to-end fields of `headers` (RFC 9110, section 7.6.1), without those that stairspur itself reads and
+/// writes.
 auto endToEndHeaders(const transport::HeaderList &headers) -> transport::HeaderList;
 
 } // namespace stairspur::node
--- a/source/node/ProblemResponse.cpp
+++ b/source/node/ProblemResponse.cpp
@@ -86,13 +86,12 @@
 {
     switch (outcome) {
     case Outcome::NotRun:
-        return "The call ran nowhere (" + std::string(nameOf(reason))
-               + "). It is safe to send it again.";
+        return "The call ran nowhere (" + std::string(nameOf(reason)) + "). It is safe to retry.";
     case Outcome::Failed:
         return "The call ran and failed (" + std::string(nameOf(reason)) + ").";
     default:
         return "The call may have run (" + std::string(nameOf(reason))
-               + "). Ask again with the same Idempotency-Key, or only if it may run twice.";
+               + "). Retry with the same Idempotency-Key, or only if it may run twice.";
     }
 }
 
--- a/source/node/ProblemResponse.h
+++ b/source/node/ProblemResponse.h
@@ -9,14 +9,15 @@
 
 namespace stairspur::node {
 
-/// The HTTP status that goes with a call that has no answer of a backend server (docs/INTERFACES.md).
+/// Returns the HTTP status for a call without an answer of a backend server (docs/INTERFACES.md).
 auto statusFor(Outcome outcome, Reason reason) -> std::uint32_t;
 
-/// A truthful final answer for a call without one of a backend server: problem+json (RFC 9457) and when to come back.
+/// Returns the final response to a call without an answer of a backend server: problem+json (RFC 9457) with the delay after
+/// which to retry.
 auto problemResponse(Outcome outcome, Reason reason, const std::string &detail, Duration retryAfter)
         -> transport::HttpResponse;
 
-/// What the caller gets for `answer`.
+/// Returns the response to the caller for `answer`.
 auto responseFor(transport::CallAnswer answer) -> transport::HttpResponse;
 
 } // namespace stairspur::node
--- a/source/node/TrafficState.h
+++ b/source/node/TrafficState.h
@@ -8,21 +8,22 @@
 
 namespace stairspur::node {
 
-/// What operators see of the entry's thread, as it last published it: where it stands, nobody else may read it.
+/// The latest published state of the entry's thread, for metrics and status. Only the entry's thread can read the state
+/// itself.
 struct EntryState
 {
     std::uint32_t connections = 0;
-    std::uint32_t links = 0; ///< To other nodes.
+    std::uint32_t links = 0; ///< Number of links to other nodes.
     transport::PeerTraffic traffic;
 };
 
-/// What operators see of the gate's thread, as it last published it.
+/// The latest published state of the gate's thread, for metrics and status.
 struct GateState
 {
     admission::LoadReport load;
     transport::PeerTraffic traffic;
-    transport::PeerTraffic keyedTraffic;     ///< Of the links for calls that run at most once.
-    store::StoreCounters keyedStoreCounters; ///< Of the store's client for these.
+    transport::PeerTraffic keyedTraffic; ///< Traffic of the links for calls that run at most once.
+    store::StoreCounters keyedStoreCounters; ///< Counters of the store client for these.
 };
 
 } // namespace stairspur::node
--- a/tests/node/TestBackendAnswer.cpp
+++ b/tests/node/TestBackendAnswer.cpp
@@ -9,7 +9,7 @@
 using admission::Completion;
 using transport::HttpFailure;
 
-Test(BackendAnswer, onlyTheBackendServersWordProvesNotRun)
+Test(BackendAnswer, onlyTheOutcomeHeaderProvesNotRun)
 {
     struct
     {
@@ -30,13 +30,13 @@
         auto response = transport::HttpResponse{.status = it.status};
         if (*it.outcome)
             response.headers.set("Stairspur-Outcome", it.outcome);
-        const auto verdict = interpretResponse(response);
-        cr_expect(verdict.outcome == it.expected, "%u %s", it.status, it.outcome);
-        cr_expect(verdict.completion == it.completion, "%u %s", it.status, it.outcome);
+        const auto result = interpretResponse(response);
+        cr_expect(result.outcome == it.expected, "%u %s", it.status, it.outcome);
+        cr_expect(result.completion == it.completion, "%u %s", it.status, it.outcome);
     }
 }
 
-Test(BackendAnswer, anAttemptThatWasSentIsNeverNotRun)
+Test(BackendAnswer, sentAttemptsAreNeverNotRun)
 {
     cr_assert(interpretFailure(HttpFailure::NotConnected).outcome == Outcome::NotRun);
     for (const auto it : {HttpFailure::TimedOut, HttpFailure::Cancelled, HttpFailure::Broken})
@@ -51,13 +51,14 @@
     const auto request = backendRequest(call, 0xab, std::chrono::milliseconds(250));
     cr_assert_eq(request.headers.find("Stairspur-Call"), "00000000000000ab");
     cr_assert_eq(request.headers.find("Stairspur-Timeout"), "250");
-    // The first 16 digits of SHA-256 of "span 00000000000000ab": the id itself is a credential and must not travel.
+    // The parent id is the first 16 digits of SHA-256 of "span 00000000000000ab". The call's id is a credential and must
+    // not be sent to other servers.
     cr_assert_eq(request.headers.find("traceparent"),
                  "00-4bf92f3577b34da6a3ce929d0e0e4736-2c8eee2c086709fd-00");
     cr_assert_eq(request.headers.find("Idempotency-Key"), "k1");
 }
 
-Test(EndToEndHeaders, fieldsOfOneConnectionAndOfOursAreLeftOut)
+Test(EndToEndHeaders, connectionFieldsAndReservedFieldsAreRemoved)
 {
     auto headers = transport::HeaderList();
     for (const auto *it : {"Connection", "keep-alive", "Transfer-Encoding", "Host",
@@ -70,7 +71,7 @@
     cr_assert_eq(kept.find("x-dish"), "soup");
 }
 
-Test(ProblemResponse, refusalsSayWhenToComeBack)
+Test(ProblemResponse, refusalsHaveARetryDelay)
 {
     const auto response = problemResponse(Outcome::NotRun, Reason::BelowFloor, "detail",
                                           std::chrono::milliseconds(1200));
