--- a/source/node/CrashWatch.cpp
+++ b/source/node/CrashWatch.cpp
@@ -13,8 +13,9 @@
 using transport::HttpFailure;
 using transport::Task;
 
-/// A process on the same host answers a connect, or its kernel refuses it, within a millisecond; a busy host takes some more.
-/// Without an answer by then the backend server is taken to live; the calls that broke wait so long for theirs.
+/// Time limit of a probe. A process on the same host accepts a connection, or the kernel refuses it, within a millisecond; a
+/// busy host takes longer. Without a result by then the backend server counts as running. The calls with broken connections
+/// wait for this time before they get their answers.
 static constexpr auto ProbeTimeout = Duration{50'000};
 
 auto CrashWatch::didReplace(const LocalBackend &former) -> void
@@ -25,25 +26,24 @@
 }
 
 auto CrashWatch::didEnd(CallId id, quarantine::RequestFingerprint request,
-                        const BackendResult &verdict, std::optional<HttpFailure> failure,
+                        const BackendResult &result, std::optional<HttpFailure> failure,
                         const LocalBackend &backend) -> Task<void>
 {
-    const auto isWhole =
-            !failure
-            && (verdict.outcome == Outcome::Answered || verdict.outcome == Outcome::Failed);
-    if (isWhole) {
+    const auto isComplete =
+            !failure && (result.outcome == Outcome::Answered || result.outcome == Outcome::Failed);
+    if (isComplete) {
         m_detector.didAnswer(id);
         m_quarantine.didAnswer(request);
     } else if (failure != HttpFailure::Broken) {
         m_detector.didEndOtherwise(id);
     } else if (m_detector.didBreak(id) && !isLeaving(backend)) {
-        co_await lookForCrash(backend);
+        co_await probeBackend(backend);
     }
 }
 
-auto CrashWatch::lookForCrash(const LocalBackend &backend) -> Task<void>
+auto CrashWatch::probeBackend(const LocalBackend &backend) -> Task<void>
 {
-    // One connect tells for all calls that broke together; each new one would take a place at a server that lives.
+    // One probe serves all calls whose connections broke together. Each further one would use a connection of a running server.
     if (const auto probe = m_probe) {
         co_await probe->async_wait(asio::as_tuple(asio::use_awaitable));
         co_return;
--- a/source/node/CrashWatch.h
+++ b/source/node/CrashWatch.h
@@ -17,8 +17,8 @@
 
 namespace stairspur::node {
 
-/// Finds out whether the host's backend server has ended, when the connection of a call breaks, and tells the quarantine under which
-/// requests. Belongs to the gate's thread.
+/// Detects crashes of the host's backend server when the connection of a call breaks, and reports the requests that ran to the
+/// quarantine. Belongs to the gate's thread.
 class CrashWatch
 {
 public:
@@ -27,28 +27,28 @@
         , m_quarantine(quarantine)
     {}
 
-    /// Another life of the backend server, or another server, stands here from now on.
+    /// Records that the backend server `former` has restarted or was replaced by another one.
     auto didReplace(const LocalBackend &former) -> void;
 
-    /// A call is sent to the present backend server.
+    /// Records that a call is sent to the current backend server.
     auto didSend(CallId id, const quarantine::RequestFingerprint &request) -> void
     {
         m_detector.didSend(id, request);
     }
 
-    /// A call has ended at `backend`, which is the present one; `failure`: it has no answer.
-    auto didEnd(CallId id, quarantine::RequestFingerprint request, const BackendResult &verdict,
+    /// Records that a call has ended at `backend`, which is the current one. `failure` is set if it has no response.
+    auto didEnd(CallId id, quarantine::RequestFingerprint request, const BackendResult &result,
                 std::optional<transport::HttpFailure> failure, const LocalBackend &backend)
             -> transport::Task<void>;
 
 private:
-    auto lookForCrash(const LocalBackend &backend) -> transport::Task<void>;
+    auto probeBackend(const LocalBackend &backend) -> transport::Task<void>;
 
     transport::asio::io_context &m_io;
     QuarantineKeeper &m_quarantine;
     quarantine::CrashDetector m_detector;
     std::uint64_t m_replacements = 0;
-    /// While it is being found out whether the backend server has ended; cancelled when that is known.
+    /// Set while a probe of the backend server runs; cancelled once its result is available.
     std::shared_ptr<transport::Timer> m_probe;
 };
 
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -18,14 +18,16 @@
 using transport::CancellationPtr;
 using transport::Task;
 
-/// How often waiting calls are checked against their deadlines.
+/// Interval at which waiting calls are checked against their deadlines.
 static constexpr auto TickInterval = std::chrono::milliseconds(5);
-/// When to come back to a gate that has no serving backend server: about the time in which entries learn of it.
+/// Retry delay of calls to a gate without a serving backend server. Entries learn of the backend server's state within
+/// about this time.
 static constexpr auto UnavailableRetryAfter = Duration{500'000};
-/// When to come back for a turn of those that run alone: some runs later.
-static constexpr auto TrialRetryAfter = Duration{500'000};
+/// Retry delay of a suspected call that got no permit to run alone. It covers several runs.
+static constexpr auto SuspectedRetryAfter = Duration{500'000};
 
-/// The backend server is on this host: no packet on the way there is lost, so that one retransmission (200 ms) tells enough.
+/// Time without an acknowledgement after which a connection to the backend server is closed. The backend server is on this
+/// host, where no packet is lost, so one failed retransmission (200 ms) is enough.
 static constexpr auto BackendUnacknowledgedTimeout = Duration{500'000};
 
 static auto admissionSettings(const CallProtocol *protocol) -> admission::AdmissionSettings
@@ -47,7 +49,7 @@
     , m_admission(std::make_unique<AdmissionController>(admissionSettings(protocol)))
     , m_quarantine(quarantine)
     , m_crashes(io, quarantine)
-    , m_trials(io)
+    , m_suspectedCalls(io)
     , m_ticker(io)
     , m_protocol(protocol)
 {}
@@ -62,8 +64,8 @@
     m_admission->setDeeperFloors(floors->byRank, floors->byPath);
 }
 
-/// Takes over what the backend server announced. A new one, or the former one after a new start, starts cold; calls that
-/// still run keep the client of the old one.
+/// Applies the backend server's announcement. A new backend server, or one that has restarted, starts with the cold limit.
+/// Running calls keep the HTTP client of the former backend server.
 auto Gate::refreshBackend() -> void
 {
     const auto generation = m_board.backend.generation();
@@ -107,8 +109,8 @@
     return std::make_shared<transport::HttpClient>(m_io, client);
 }
 
-/// The id by which the entry of this host finds the call as a parent. A second call under the same attempt's id gets
-/// another one, and its deeper calls are taken for those of the first.
+/// Returns the id by which this host's entry finds the call as a parent. A second call with the same attempt id gets
+/// another call id, so its deeper calls are counted as those of the first call.
 auto Gate::newCallId(const CallRequest &request) -> CallId
 {
     if (request.attemptId.empty())
@@ -126,7 +128,8 @@
     return m_protocol->writeBackendRequest(std::move(request), remaining, m_backend.life.instance);
 }
 
-/// What the entry would drop is not worth its way there: bytes between failure domains cost.
+/// Returns the response fields that the entry forwards to the caller. The others are dropped here, because traffic between
+/// failure domains is expensive.
 auto Gate::answerHeaders(transport::HeaderList headers) const -> transport::HeaderList
 {
     if (!m_protocol)
@@ -139,7 +142,7 @@
     return kept;
 }
 
-auto Gate::judge(const transport::HttpResponse &response) const -> BackendResult
+auto Gate::interpret(const transport::HttpResponse &response) const -> BackendResult
 {
     if (!m_protocol)
         return interpretResponse(response);
@@ -201,7 +204,7 @@
     ++m_calls;
     auto answer = CallAnswer();
     if (judgement.standing == Standing::OnTrial)
-        answer = co_await handleOnTrial(std::move(request), fingerprint, deadline, cancellation);
+        answer = co_await handleSuspected(std::move(request), fingerprint, deadline, cancellation);
     else
         answer = co_await admit(std::move(request), fingerprint, deadline, cancellation);
     --m_calls;
@@ -209,13 +212,13 @@
     co_return answer;
 }
 
-auto Gate::handleOnTrial(CallRequest request, Fingerprint fingerprint, TimePoint deadline,
-                         CancellationPtr cancellation) -> Task<CallAnswer>
+auto Gate::handleSuspected(CallRequest request, Fingerprint fingerprint, TimePoint deadline,
+                           CancellationPtr cancellation) -> Task<CallAnswer>
 {
-    const auto turn = co_await m_trials.enter(deadline, cancellation);
-    if (!turn)
-        co_return refusal(request, Reason::QueueFull, TrialRetryAfter);
-    // What ran before it may have decided its own case.
+    const auto permit = co_await m_suspectedCalls.enter(deadline, cancellation);
+    if (!permit)
+        co_return refusal(request, Reason::QueueFull, SuspectedRetryAfter);
+    // A suspected call that ran meanwhile may have changed the status of this request.
     const auto judgement = m_quarantine.judge(fingerprint);
     if (judgement.standing == Standing::Refused)
         co_return refusal(request, Reason::Quarantined, judgement.retryAfter);
@@ -226,17 +229,17 @@
                  CancellationPtr cancellation) -> Task<CallAnswer>
 {
     const auto id = newCallId(request);
-    const auto decision = co_await waitForPlace(id,
-                                                {.id = id,
-                                                 .level = request.level,
-                                                 .deadline = deadline,
-                                                 .path = request.path,
-                                                 .hasBegun = request.isDeeperCall,
-                                                 .callsPerRoot = request.callsPerRoot},
-                                                cancellation);
+    const auto decision = co_await waitForSlot(id,
+                                               {.id = id,
+                                                .level = request.level,
+                                                .deadline = deadline,
+                                                .path = request.path,
+                                                .hasBegun = request.isDeeperCall,
+                                                .callsPerRoot = request.callsPerRoot},
+                                               cancellation);
     if (decision.reason != Reason::None)
         co_return refusal(request, decision.reason, decision.retryAfter);
-    // The verdict may have fallen while it waited.
+    // The request may have been quarantined while the call waited.
     const auto judgement = m_quarantine.judge(fingerprint);
     if (judgement.standing == Standing::Refused) {
         const auto now = monotonicNow();
@@ -248,7 +251,7 @@
                                 std::move(cancellation));
 }
 
-auto Gate::waitForPlace(CallId id, admission::CallOffer offer, CancellationPtr cancellation)
+auto Gate::waitForSlot(CallId id, admission::CallOffer offer, CancellationPtr cancellation)
         -> Task<Refusal>
 {
     const auto since = monotonicNow();
@@ -272,15 +275,16 @@
     co_return waiter->refusal;
 }
 
-/// What the limit learns from a call. One that was held up by its own deeper calls says nothing about this backend server:
-/// counted as its failure, it would shrink the limits of all services above an overloaded one.
-static auto completionOf(const BackendResult &verdict, const ClosedCall &closed)
+/// Returns how a call counts for the concurrency limit. The failure of a call whose deeper calls failed or still run is not
+/// counted as a failure of this backend server. If it were, an overloaded service would lower the limits of all services
+/// above it.
+static auto completionOf(const BackendResult &result, const ClosedCall &closed)
         -> admission::Completion
 {
-    const auto isTrouble = verdict.completion == admission::Completion::Failed
-                           || verdict.completion == admission::Completion::TimedOut;
-    return isTrouble && closed.hadUnansweredDeeperCall ? admission::Completion::Cancelled
-                                                       : verdict.completion;
+    const auto isFailure = result.completion == admission::Completion::Failed
+                           || result.completion == admission::Completion::TimedOut;
+    return isFailure && closed.hadUnansweredDeeperCall ? admission::Completion::Cancelled
+                                                       : result.completion;
 }
 
 auto Gate::dispatch(CallId id, CallRequest request, Fingerprint fingerprint, TimePoint deadline,
@@ -293,42 +297,42 @@
                    {request.className, request.level, request.root, deadline, request.caller,
                     request.path, request.callsPerRoot, request.callsLeft},
                    request.retryBudget, request.isRepeat);
-    const auto client = m_client; // A newer backend server must not end this call's connections.
+    const auto client = m_client; // Stays open if the backend server is replaced.
     auto answer = CallAnswer();
-    auto verdict = BackendResult();
+    auto result = BackendResult();
     auto failure = std::optional<transport::HttpFailure>();
     m_crashes.didSend(id, fingerprint);
     try {
         auto sent = writeRequest(std::move(request), id, deadline - start);
         auto response =
                 co_await client->send(std::move(sent), deadline - start, std::move(cancellation));
-        verdict = judge(response);
-        if (verdict.outcome == Outcome::Answered || verdict.outcome == Outcome::Failed) {
+        result = interpret(response);
+        if (result.outcome == Outcome::Answered || result.outcome == Outcome::Failed) {
             answer.status = response.status;
             answer.headers = answerHeaders(std::move(response.headers));
             answer.body = std::move(response.body);
         }
     } catch (const transport::HttpClientError &error) {
         failure = error.failure();
-        verdict = interpretFailure(error.failure());
+        result = interpretFailure(error.failure());
     }
-    co_await m_crashes.didEnd(id, fingerprint, verdict, failure, m_backend);
-    // It ended the last backend server that it was to end: nobody may send it on.
+    co_await m_crashes.didEnd(id, fingerprint, result, failure, m_backend);
+    // This call's crash may have quarantined its request. The reason then stops further attempts.
     if (failure && m_quarantine.judge(fingerprint).standing == Standing::Refused)
-        verdict.reason = Reason::Quarantined;
+        result.reason = Reason::Quarantined;
     const auto now = monotonicNow();
-    answer.outcome = verdict.outcome;
-    answer.reason = verdict.reason;
-    answer.wasDispatched = verdict.outcome != Outcome::NotRun;
+    answer.outcome = result.outcome;
+    answer.reason = result.reason;
+    answer.wasDispatched = result.outcome != Outcome::NotRun;
     const auto closed = m_running.close(id);
     answer.unspentBudget = closed.unspentBudget;
-    if (verdict.outcome == Outcome::Failed && closed.hadUnansweredDeeperCall)
+    if (result.outcome == Outcome::Failed && closed.hadUnansweredDeeperCall)
         answer.reason = Reason::DeeperCallFailed;
-    apply(m_admission->didComplete(id, completionOf(verdict, closed), now - start, now, m_random));
-    if (verdict.outcome == Outcome::NotRun)
+    apply(m_admission->didComplete(id, completionOf(result, closed), now - start, now, m_random));
+    if (result.outcome == Outcome::NotRun)
         answer.retryAfter = UnavailableRetryAfter;
     answer.report = report();
-    m_metrics.didRunAtBackend(className, verdict.outcome, now - start);
+    m_metrics.didRunAtBackend(className, result.outcome, now - start);
     m_metrics.didAddAtGate(start - arrival + (monotonicNow() - now));
     co_return answer;
 }
--- a/source/node/Gate.h
+++ b/source/node/Gate.h
@@ -27,8 +27,8 @@
 
 namespace stairspur::node {
 
-/// Guards the host's backend server: who runs, who waits, who is refused. The only one that knows the truth about it, so
-/// the limit is not split between thousands of entries. Belongs to the gate's thread.
+/// Decides which calls the host's backend server runs, which wait and which are refused. All calls to the backend server
+/// pass this gate, so one concurrency limit covers the calls of all entries. Belongs to the gate's thread.
 class Gate
 {
 public:
@@ -36,24 +36,25 @@
          NodeMetrics &metrics, CallIdSource &callIds, QuarantineKeeper &quarantine,
          std::uint64_t seed, const CallProtocol *protocol = nullptr);
 
-    /// Serves one call: from admission to the backend server's whole answer.
+    /// Serves one call, from admission to the backend server's complete response.
     auto handle(transport::CallRequest request, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
 
-    /// Refuses new and waiting calls; `didFinish` runs once no call runs any more.
+    /// Refuses new and waiting calls. Calls `didFinish` when the last running call has ended.
     auto drain(std::function<void()> didFinish) -> void;
 
-    /// Takes over what the blackboard tells of the backend server. Waiting calls leave when it takes no more work.
+    /// Applies the blackboard's current state of the backend server. Refuses all waiting calls if the backend server accepts
+    /// no more work.
     auto refreshFromBoard() -> void;
 
-    /// What the gate tells about its backend server now.
+    /// Returns the current load report of the backend server.
     auto report() -> admission::LoadReport;
 
 private:
     using Fingerprint = quarantine::RequestFingerprint;
     using ClientPtr = std::shared_ptr<transport::HttpClient>;
 
-    /// A call that waits for a place.
+    /// A call that waits for a slot.
     struct Waiter
     {
         explicit Waiter(transport::asio::io_context &io)
@@ -62,7 +63,7 @@
 
         transport::Timer wakeUp;
         bool isDecided = false;
-        admission::Refusal refusal; ///< Reason::None: dispatch.
+        admission::Refusal refusal; ///< Reason::None if the call is dispatched.
     };
 
     auto refreshBackend() -> void;
@@ -71,14 +72,13 @@
     [[nodiscard]] auto writeRequest(transport::CallRequest request, CallId id,
                                     Duration remaining) const -> transport::HttpRequest;
     [[nodiscard]] auto answerHeaders(transport::HeaderList headers) const -> transport::HeaderList;
-    [[nodiscard]] auto judge(const transport::HttpResponse &response) const -> BackendResult;
+    [[nodiscard]] auto interpret(const transport::HttpResponse &response) const -> BackendResult;
     [[nodiscard]] auto reasonToRefuse(const transport::CallRequest &request) const -> Reason;
-    auto waitForPlace(CallId id, admission::CallOffer offer,
-                      transport::CancellationPtr cancellation)
+    auto waitForSlot(CallId id, admission::CallOffer offer, transport::CancellationPtr cancellation)
             -> transport::Task<admission::Refusal>;
-    /// Serves a call whose request is on trial, when no other one of these runs here.
-    auto handleOnTrial(transport::CallRequest request, Fingerprint fingerprint, TimePoint deadline,
-                       transport::CancellationPtr cancellation)
+    /// Serves a call whose request is suspected, once no other suspected call runs here.
+    auto handleSuspected(transport::CallRequest request, Fingerprint fingerprint,
+                         TimePoint deadline, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
     auto admit(transport::CallRequest request, Fingerprint fingerprint, TimePoint deadline,
                transport::CancellationPtr cancellation) -> transport::Task<transport::CallAnswer>;
@@ -100,7 +100,8 @@
     CallIdSource &m_callIds;
     Random m_random;
     LocalBackend m_backend;
-    std::uint32_t m_backendLives = 0; ///< Backend servers that stood here since the node started.
+    std::uint32_t m_backendLives =
+            0; ///< Number of backend server instances since the node started.
     std::uint64_t m_backendGeneration = 0;
     std::uint64_t m_floorsGeneration = 0;
     std::uint64_t m_configurationGeneration = 0;
@@ -108,14 +109,14 @@
     ClientPtr m_client;
     QuarantineKeeper &m_quarantine;
     CrashWatch m_crashes;
-    SuspectedCallLane m_trials;
+    SuspectedCallLane m_suspectedCalls;
     std::unordered_map<CallId, std::shared_ptr<Waiter>> m_waiters;
     transport::Timer m_ticker;
     bool m_isTicking = false;
     bool m_isDraining = false;
-    std::uint32_t m_calls = 0; ///< Handled now, waiting ones included.
+    std::uint32_t m_calls = 0; ///< Number of calls in `handle`, including those that wait.
     std::function<void()> m_didFinishDrain;
-    const CallProtocol *m_protocol; ///< Null: the product's own.
+    const CallProtocol *m_protocol; ///< Null for the product's own protocol.
 };
 
 } // namespace stairspur::node
--- a/source/node/KeyedGate.cpp
+++ b/source/node/KeyedGate.cpp
@@ -12,9 +12,10 @@
 using transport::CancellationPtr;
 using transport::Task;
 
-/// How often news from the control thread is looked for.
+/// Interval at which the blackboard is checked for changes by the control thread.
 static constexpr auto RefreshInterval = std::chrono::milliseconds(100);
-/// Longer than a write to the store and the copying of the records take; with the store down it is in vain.
+/// Time limit of a hand-over. It is longer than a write to the store and the copying of the records take. Without the store
+/// a hand-over cannot succeed.
 static constexpr auto HandOverTimeout = std::chrono::seconds(10);
 
 static auto serviceSettings(const NodeSettings &settings, keyed::Replica own)
@@ -89,13 +90,13 @@
 {
     if (!m_didHandOver)
         return;
-    const auto isWhole = m_service.isDrained();
-    if (!isWhole && monotonicNow() < m_handOverEnd)
+    const auto isComplete = m_service.isDrained();
+    if (!isComplete && monotonicNow() < m_handOverEnd)
         return;
-    log::Line(isWhole ? log::Severity::Info : log::Severity::Warning, "keyed-hand-over")
-            .add("whole", isWhole)
+    log::Line(isComplete ? log::Severity::Info : log::Severity::Warning, "keyed-hand-over")
+            .add("whole", isComplete)
             .add("records", m_service.records());
-    std::exchange(m_didHandOver, nullptr)(isWhole);
+    std::exchange(m_didHandOver, nullptr)(isComplete);
 }
 
 } // namespace stairspur::node
--- a/source/node/KeyedGate.h
+++ b/source/node/KeyedGate.h
@@ -18,15 +18,15 @@
 
 namespace stairspur::node {
 
-/// Calls that run at most once, on the gate's side: the slots of which this node is primary or witness, with the store and
-/// the links that they need. Belongs to the gate's thread.
+/// The gate's part of the calls that run at most once: the slots of which this node is primary or witness, with the store
+/// client and the peer links that they need. Belongs to the gate's thread.
 class KeyedGate
 {
 public:
     using Service = keyed::KeyedService<store::EtcdStore, transport::PeerClient>;
 
-    /// `own`: this node and its start incarnation. `dispatch` has a bound call executed once. The settings must name a
-    /// store, since placements stand there.
+    /// `own` is this node with its incarnation. `dispatch` executes a bound call once. The settings must name a store, since
+    /// placements are stored there.
     KeyedGate(transport::asio::io_context &io, const NodeSettings &settings, const NodeBoard &board,
               keyed::Replica own, Service::DispatchFunction dispatch, std::uint64_t seed);
     ~KeyedGate();
@@ -35,26 +35,27 @@
     auto operator=(const KeyedGate &) -> KeyedGate & = delete;
     auto operator=(KeyedGate &&) -> KeyedGate & = delete;
 
-    /// Takes the topic `keyed` of the server's control requests and begins.
+    /// Registers the handler of the server's topic `keyed` and starts the service.
     auto start(transport::PeerServer &server) -> void;
 
-    /// A keyed call that an entry's router sent here.
+    /// Serves a keyed call that an entry's router sent to this node.
     auto handle(transport::CallRequest request, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
 
-    /// `didFinish` runs, with whether all went well, once every slot is handed over or the time for that is up. Then the
-    /// survivors of the pairs take over as if this node had failed.
-    auto handOver(std::function<void(bool isWhole)> didFinish) -> void;
+    /// Hands over all slots of this node. Calls `didFinish` once every slot is handed over (`isComplete`) or the time for that
+    /// is over. In the second case the remaining nodes of the pairs take over as if this node had failed.
+    auto handOver(std::function<void(bool isComplete)> didFinish) -> void;
 
-    /// Called on the gate's thread when a link of its own has fallen silent while another could be opened.
+    /// Sets the function that is called on the gate's thread when one of its own links is silent while another one could be
+    /// opened.
     auto setSilenceObserver(std::function<void()> observer) -> void
     {
         m_peers.setSilenceObserver(std::move(observer));
     }
-    /// Looks for links that have fallen silent.
+    /// Checks the links for silent ones.
     auto verifyLinks() -> void { m_peers.verifyLinks(); }
 
-    /// Of the links of its own.
+    /// Returns the traffic of its own links.
     [[nodiscard]] auto traffic() const -> transport::PeerTraffic { return m_peers.traffic(); }
     [[nodiscard]] auto storeCounters() const -> const store::StoreCounters &
     {
--- a/source/node/SuspectedCallLane.cpp
+++ b/source/node/SuspectedCallLane.cpp
@@ -11,10 +11,10 @@
 
 namespace asio = transport::asio;
 
-/// How often those that wait look again: a twentieth of a usual run of 100 ms.
-static constexpr auto LookInterval = std::chrono::milliseconds(5);
-/// Each takes the time of a run; who came after so many would hardly be in time.
-static constexpr auto MostWaiting = std::uint32_t{32};
+/// Interval at which waiting calls check the lane: a twentieth of a typical run of 100 ms.
+static constexpr auto PollInterval = std::chrono::milliseconds(5);
+/// Maximum number of waiting calls. Each takes the time of a run, so a call behind so many would miss its deadline.
+static constexpr auto MaxWaiting = std::uint32_t{32};
 
 SuspectedCallLane::Permit::Permit(std::shared_ptr<bool> isBusy)
     : m_isBusy(std::move(isBusy))
@@ -31,11 +31,11 @@
 auto SuspectedCallLane::enter(TimePoint deadline, transport::CancellationPtr cancellation)
         -> transport::Task<Permit>
 {
-    if (m_waiting >= MostWaiting)
+    if (m_waiting >= MaxWaiting)
         co_return Permit();
     ++m_waiting;
     while (*m_isBusy && monotonicNow() < deadline && !cancellation->isCancelled()) {
-        auto timer = transport::Timer(m_io, LookInterval);
+        auto timer = transport::Timer(m_io, PollInterval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
     --m_waiting;
--- a/source/node/SuspectedCallLane.h
+++ b/source/node/SuspectedCallLane.h
@@ -11,12 +11,12 @@
 
 namespace stairspur::node {
 
-/// Lets the requests that are on trial run one at a time, so that the next crash names the one that ran. Belongs to the gate's
+/// Runs suspected requests one at a time, so that a crash identifies the suspected request that ran. Belongs to the gate's
 /// thread.
 class SuspectedCallLane
 {
 public:
-    /// The right to run; given back when it ends. Empty: not got.
+    /// The permit to run, which the destructor releases. An empty permit allows nothing.
     class Permit
     {
     public:
@@ -31,14 +31,15 @@
         explicit operator bool() const { return m_isBusy != nullptr; }
 
     private:
-        std::shared_ptr<bool> m_isBusy; ///< Outlives the lane in calls that are under way.
+        std::shared_ptr<bool> m_isBusy; ///< Shared, since running calls may outlive the lane.
     };
 
     explicit SuspectedCallLane(transport::asio::io_context &io)
         : m_io(io)
     {}
 
-    /// Waits for the lane to be free, until `deadline` or until nobody wants the answer any more.
+    /// Waits until the lane is free, `deadline` has passed or the call is cancelled. Returns an empty permit in the last two
+    /// cases, and at once if too many calls wait.
     auto enter(TimePoint deadline, transport::CancellationPtr cancellation)
             -> transport::Task<Permit>;
 
--- a/tests/node/TestQuarantineAtDispatch.cpp
+++ b/tests/node/TestQuarantineAtDispatch.cpp
@@ -7,7 +7,7 @@
 // After Boost, whose headers its macros break.
 #include <criterion/criterion.h>
 
-/// A request that waits at a gate while the verdict on it falls is not sent to the backend server when its turn comes.
+/// Guards against the dispatch of a request that is quarantined while it waits at a gate.
 using namespace stairspur;
 using namespace stairspur::node;
 using namespace std::chrono_literals;
@@ -16,8 +16,8 @@
 
 static constexpr auto Poison = "poison";
 
-/// What a node that saw three backend servers end under the request would keep of it.
-static auto verdictOn(const quarantine::RequestFingerprint &request) -> std::string
+/// Returns the quarantine record of a node where three backend servers crashed while they ran the request.
+static auto refusalRecordFor(const quarantine::RequestFingerprint &request) -> std::string
 {
     auto settings = quarantine::QuarantineSettings();
     settings.node = "other";
@@ -27,7 +27,7 @@
     return state.save(request, monotonicNow());
 }
 
-Test(QuarantineAtDispatch, aWaitingRequestIsRefusedWhenTheVerdictFalls)
+Test(QuarantineAtDispatch, waitingRequestIsRefusedOnceItIsQuarantined)
 {
     auto path = CallPathHarness();
     auto isReleased = false;
@@ -45,7 +45,7 @@
     host.board.backend.publish(backend);
     const auto first = path.start(path.request("menu", "first"));
     cr_assert(path.runUntil([&] { return !seen.empty(); }));
-    // As many as it takes for one to wait: the gate's limit adapts and may be above one.
+    // Several calls are needed to make one wait, since the gate's limit adapts and may be above one.
     for (auto n = 0; n < 8; ++n)
         path.start(path.request("menu", "filler" + std::to_string(n)));
     const auto waiting = path.start(path.request("menu", Poison));
@@ -53,20 +53,20 @@
     auto isSettled = false;
     settle.async_wait([&](const auto &) { isSettled = true; });
     cr_assert(path.runUntil([&] { return isSettled; }));
-    cr_assert(std::ranges::find(seen, Poison) == seen.end(), "it waits");
+    cr_assert(std::ranges::find(seen, Poison) == seen.end(), "the request waits");
 
     auto call = transport::CallRequest{.service = "menu", .className = "orders", .method = "POST"};
     call.target = "/";
     call.caller = "kitchen";
     call.body = Poison;
-    host.quarantine.restore(verdictOn(fingerprintOf(call)));
+    host.quarantine.restore(refusalRecordFor(fingerprintOf(call)));
     isReleased = true;
     cr_assert(path.finish());
     cr_assert(std::ranges::find(seen, Poison) == seen.end());
     cr_assert_eq(path.responses[waiting].status, 503);
     cr_assert(path.responses[waiting].headers.find("Stairspur-Outcome") == "not-run");
     cr_assert_eq(path.responses[first].status, 200);
-    // Others that waited too long for the one backend server may be refused for overload; each that ran has its answer.
+    // Calls that waited too long for the only backend server may be refused for overload. Each call that ran has its answer.
     const auto isAnswered = [](const auto &it) { return it.status == 200; };
     cr_assert_eq(std::ranges::count_if(path.responses, isAnswered), std::ssize(seen));
 }
--- a/tests/node/TestSuspectedCallLane.cpp
+++ b/tests/node/TestSuspectedCallLane.cpp
@@ -13,21 +13,22 @@
 using namespace stairspur::node;
 namespace asio = boost::asio;
 
-/// Calls that ask for a turn and keep it until they are told to go.
-struct LaneBench
+/// Calls that enter the lane and keep their permits until the test releases them.
+struct LaneHarness
 {
     asio::io_context io{1};
-    /// Between two calls nothing is left to do.
+    /// Keeps the I/O context running between two calls.
     asio::executor_work_guard<asio::io_context::executor_type> work = asio::make_work_guard(io);
     SuspectedCallLane lane{io};
-    std::vector<SuspectedCallLane::Permit> held;
-    std::vector<bool> results; ///< Whether the nth that ended got a turn.
+    std::vector<SuspectedCallLane::Permit> permits;
+    std::vector<bool> results; ///< Whether the nth call that finished waiting received a permit.
 
     auto start(Duration patience, transport::CancellationPtr cancellation = nullptr) -> void
     {
         if (!cancellation)
             cancellation = std::make_shared<transport::Cancellation>();
-        asio::co_spawn(io, ask(monotonicNow() + patience, std::move(cancellation)), asio::detached);
+        asio::co_spawn(io, enterLane(monotonicNow() + patience, std::move(cancellation)),
+                       asio::detached);
     }
 
     auto runUntil(std::size_t ended) -> void
@@ -37,67 +38,68 @@
     }
 
 private:
-    auto ask(TimePoint deadline, transport::CancellationPtr cancellation) -> transport::Task<void>
+    auto enterLane(TimePoint deadline, transport::CancellationPtr cancellation)
+            -> transport::Task<void>
     {
-        auto turn = co_await lane.enter(deadline, std::move(cancellation));
-        results.push_back(bool(turn));
-        if (turn)
-            held.push_back(std::move(turn));
+        auto permit = co_await lane.enter(deadline, std::move(cancellation));
+        results.push_back(bool(permit));
+        if (permit)
+            permits.push_back(std::move(permit));
     }
 };
 
 static constexpr auto Long = Duration{3'600'000'000};
 
-Test(SuspectedCallLane, oneRunsAtATime)
+Test(SuspectedCallLane, oneCallRunsAtATime)
 {
-    auto bench = LaneBench();
-    bench.start(Long);
-    bench.start(Long);
-    bench.runUntil(1);
-    cr_assert_eq(bench.held.size(), 1);
+    auto harness = LaneHarness();
+    harness.start(Long);
+    harness.start(Long);
+    harness.runUntil(1);
+    cr_assert_eq(harness.permits.size(), 1);
     for (auto n = 0; n < 20; ++n)
-        bench.io.run_one();
-    cr_assert_eq(bench.results.size(), 1, "the second one waits");
-    bench.held.clear();
-    bench.runUntil(2);
-    cr_assert(bench.results[1]);
+        harness.io.run_one();
+    cr_assert_eq(harness.results.size(), 1, "the second call waits");
+    harness.permits.clear();
+    harness.runUntil(2);
+    cr_assert(harness.results[1]);
 }
 
-Test(SuspectedCallLane, whoseTimeIsUpOrWhomNobodyWantsGetsNoTurn)
+Test(SuspectedCallLane, expiredOrCancelledCallsReceiveNoPermit)
 {
-    auto bench = LaneBench();
-    bench.start(Long);
-    bench.runUntil(1);
-    bench.start(Duration{1'000});
-    bench.runUntil(2);
-    cr_assert(!bench.results[1]);
+    auto harness = LaneHarness();
+    harness.start(Long);
+    harness.runUntil(1);
+    harness.start(Duration{1'000});
+    harness.runUntil(2);
+    cr_assert(!harness.results[1]);
     auto cancellation = std::make_shared<transport::Cancellation>();
-    bench.start(Long, cancellation);
+    harness.start(Long, cancellation);
     cancellation->cancel();
-    bench.runUntil(3);
-    cr_assert(!bench.results[2]);
+    harness.runUntil(3);
+    cr_assert(!harness.results[2]);
 }
 
-Test(SuspectedCallLane, tooManyThatWaitAreRefusedAtOnce)
+Test(SuspectedCallLane, callsAboveTheWaitingLimitAreRefusedAtOnce)
 {
-    static constexpr auto MostWaiting = std::size_t{32};
-    auto bench = LaneBench();
-    for (auto n = std::size_t{0}; n < MostWaiting + 2; ++n)
-        bench.start(Long);
-    bench.runUntil(2);
-    cr_assert(bench.results[0]);
-    cr_assert(!bench.results[1]);
+    static constexpr auto MaxWaiting = std::size_t{32};
+    auto harness = LaneHarness();
+    for (auto n = std::size_t{0}; n < MaxWaiting + 2; ++n)
+        harness.start(Long);
+    harness.runUntil(2);
+    cr_assert(harness.results[0]);
+    cr_assert(!harness.results[1]);
 }
 
-/// A call may be destroyed with its turn after the lane is.
-Test(SuspectedCallLane, aTurnMayOutliveItsLane)
+/// Guards against a use of the destroyed lane by a call that is destroyed later with its permit.
+Test(SuspectedCallLane, permitMayOutliveItsLane)
 {
-    auto held = std::vector<SuspectedCallLane::Permit>();
+    auto permits = std::vector<SuspectedCallLane::Permit>();
     {
-        auto bench = LaneBench();
-        bench.start(Long);
-        bench.runUntil(1);
-        held = std::move(bench.held);
+        auto harness = LaneHarness();
+        harness.start(Long);
+        harness.runUntil(1);
+        permits = std::move(harness.permits);
     }
-    cr_assert_eq(held.size(), 1);
+    cr_assert_eq(permits.size(), 1);
 }
