--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -23,7 +23,7 @@
 
 Entry::Entry(transport::asio::io_context &io, const NodeSettings &settings, NodeBoard &board,
              RunningCalls &running, NodeMetrics &metrics, transport::PeerClient &peers,
-             Incarnation start, std::uint64_t seed, QuotaKeeper::Send askForTokens,
+             Incarnation start, std::uint64_t seed, QuotaKeeper::Send sendTokenRequest,
              const CallProtocol *protocol)
     : m_io(io)
     , m_settings(settings)
@@ -33,7 +33,7 @@
     , m_peers(peers)
     , m_keyedRouter(io, {{settings.nodeId(), start}, {}}, peers, seed + 1)
     , m_random(seed)
-    , m_callers(io, settings, board, seed + 2, std::move(askForTokens))
+    , m_callers(io, settings, board, seed + 2, std::move(sendTokenRequest))
     , m_routes(settings, board)
     , m_floorTeller(io, board, m_observedCalls,
                     [this](const auto &call, auto rank, auto now) {
@@ -54,32 +54,32 @@
 auto Entry::handle(HttpRequest request, CancellationPtr cancellation) -> Task<HttpResponse>
 {
     const auto start = monotonicNow();
-    // Before the configuration: a proof that comes in between may be of a newer one than the request is read by.
+    // The proof is read before the configuration, so it is never newer than the configuration that interprets the request.
     const auto proof = *m_board.configurationProof.read();
     const auto configuration = *m_board.configuration.read();
     if (!configuration)
         co_return refuse(refusalWithoutConfiguration());
     auto call = IncomingCall();
-    auto verdict = CallerDecision();
+    auto decision = CallerDecision();
     try {
         call = readIncoming(std::move(request), *configuration, start);
     } catch (const CallRejected &error) {
-        verdict = {error.reason(), error.what()};
+        decision = {error.reason(), error.what()};
     }
-    if (verdict.refusal == Reason::Unauthorized) {
+    if (decision.refusal == Reason::Unauthorized) {
         const auto version = configuration->configuration()->version;
-        verdict = co_await m_callers.checkUnknownKey(version, start, cancellation);
-    } else if (verdict.refusal == Reason::None) {
-        verdict = co_await m_callers.admit(call, proof);
+        decision = co_await m_callers.checkUnknownKey(version, start, cancellation);
+    } else if (decision.refusal == Reason::None) {
+        decision = co_await m_callers.admit(call, proof);
     }
-    if (verdict.refusal != Reason::None)
-        co_return refuse(verdict);
+    if (decision.refusal != Reason::None)
+        co_return refuse(decision);
     const auto className = call.request.className;
     const auto attemptId = call.request.attemptId;
     const auto caller = call.request.caller;
     auto answer = co_await route(std::move(call), std::move(cancellation));
     if (answer.outcome == Outcome::NotRun)
-        m_callers.didNotRun(caller, verdict);
+        m_callers.didNotRun(caller, decision);
     m_floorTeller.refresh(monotonicNow());
     m_metrics.didAnswerAtEntry(className, answer.outcome, monotonicNow() - start);
     co_return m_protocol ? m_protocol->writeAnswer(std::move(answer), attemptId)
@@ -96,23 +96,23 @@
                      m_settings.service, start, m_random);
 }
 
-auto Entry::refuse(const CallerDecision &verdict) -> HttpResponse
+auto Entry::refuse(const CallerDecision &decision) -> HttpResponse
 {
-    m_metrics.didRefuseAtEntry(verdict.refusal);
+    m_metrics.didRefuseAtEntry(decision.refusal);
     if (log::isDecisionSampled())
         log::Line(log::Severity::Info, "call-rejected")
-                .add("reason", verdict.refusal)
-                .add("detail", verdict.detail);
+                .add("reason", decision.refusal)
+                .add("detail", decision.detail);
     if (m_protocol)
-        return m_protocol->writeRefusal(verdict.refusal, verdict.detail, verdict.retryAfter);
-    return problemResponse(Outcome::NotRun, verdict.refusal, verdict.detail, verdict.retryAfter);
+        return m_protocol->writeRefusal(decision.refusal, decision.detail, decision.retryAfter);
+    return problemResponse(Outcome::NotRun, decision.refusal, decision.detail, decision.retryAfter);
 }
 
 auto Entry::route(IncomingCall call, CancellationPtr cancellation) -> Task<CallAnswer>
 {
     if (!call.parent) {
         const auto share = ChildShare{Reason::None, call.request.retryBudget, false};
-        co_return co_await routeShare(std::move(call), share, cancellation);
+        co_return co_await routeWithShare(std::move(call), share, cancellation);
     }
     const auto parent = *call.parent;
     call.request.isDeeperCall = true;
@@ -122,36 +122,37 @@
     };
     auto share = m_running.addChild(parent, childId, call.request.path, std::move(cancelHere));
     if (m_protocol)
-        noteDeeperCall(call, share.ordinal);
-    // Routed calls are bounded by their route's attempts and their service's bucket, not by their parent's share.
+        recordDeeperCall(call, share.ordinal);
+    // Routed calls are limited by the attempts of their route and the bucket of their service instead of their parent's share.
     if (m_protocol && share.refusal != Reason::ParentUnknown) {
         const auto isRepeat = share.isRepeat || share.refusal == Reason::RetryBudgetSpent;
         share = {Reason::None, call.request.retryBudget, isRepeat, share.ordinal};
     }
-    auto answer = co_await routeShare(std::move(call), share, cancellation);
+    auto answer = co_await routeWithShare(std::move(call), share, cancellation);
     if (share.refusal == Reason::None)
         m_running.removeChild(parent, childId, answer.unspentBudget,
                               answer.outcome == Outcome::Answered);
     co_return answer;
 }
 
-auto Entry::noteDeeperCall(IncomingCall &call, std::uint32_t ordinal) -> void
+auto Entry::recordDeeperCall(IncomingCall &call, std::uint32_t ordinal) -> void
 {
     const auto deeper = DeeperCall{call.request.service, call.request.path};
     m_observedCalls.didCall({call.request.level.rank(), call.parentPath}, deeper, ordinal,
                             monotonicNow());
-    const auto ofParent = m_observedCalls.callsPerRequest(call.parentPath, deeper);
+    const auto callsPerParent = m_observedCalls.callsPerRequest(call.parentPath, deeper);
     const auto bounded = [](std::uint64_t calls) {
         return static_cast<std::uint32_t>(
                 std::min<std::uint64_t>(calls, transport::MostCallsPerRoot));
     };
-    const auto ofLaterParents = std::uint64_t{std::max(call.parentCallsLeft, 1U) - 1U} * ofParent;
-    call.request.callsPerRoot = bounded(std::uint64_t{call.parentCallsPerRoot} * ofParent);
-    call.request.callsLeft = bounded(ofLaterParents + ofParent - ordinal + 1);
+    const auto callsOfLaterParents =
+            std::uint64_t{std::max(call.parentCallsLeft, 1U) - 1U} * callsPerParent;
+    call.request.callsPerRoot = bounded(std::uint64_t{call.parentCallsPerRoot} * callsPerParent);
+    call.request.callsLeft = bounded(callsOfLaterParents + callsPerParent - ordinal + 1);
 }
 
-auto Entry::routeShare(IncomingCall call, const ChildShare &share,
-                       const CancellationPtr &cancellation) -> Task<CallAnswer>
+auto Entry::routeWithShare(IncomingCall call, const ChildShare &share,
+                           const CancellationPtr &cancellation) -> Task<CallAnswer>
 {
     const auto isKeyed = !call.request.idempotencyKey.empty();
     const auto isRefused = share.refusal != Reason::None;
@@ -168,7 +169,8 @@
     co_return answer;
 }
 
-/// With `isQuery` nothing runs: this entry refuses the call, and only the key's home knows whether an earlier attempt ran.
+/// Routes a keyed call to the home of its key. With `isQuery` the entry refuses the call, so nothing runs; the query finds
+/// out whether an earlier attempt ran, which only the key's home has recorded.
 auto Entry::routeKeyed(IncomingCall call, Attempts &attempts, const CancellationPtr &cancellation,
                        bool isQuery) -> Task<CallAnswer>
 {
@@ -232,14 +234,14 @@
                                                  now, m_random);
         logDecision(call, decision, attempts);
         if (m_protocol && !decision.node && wasShed(attempts) && !attempts.excluded.empty()) {
-            // All have refused it once; what one of them refused for a moment it may take now.
+            // Every upstream has refused the call once. A backend server's overload may be short, so all are tried again.
             attempts.excluded.clear();
             continue;
         }
         if (!decision.node) {
-            // Whoever was asked knows better why than a pool in which nobody is left to ask.
-            const auto isAsked = attempts.sent > 0 && decision.refusal == Reason::NoUpstream;
-            co_return finalRefusal(attempts, isAsked ? attempts.last.reason : decision.refusal,
+            // The reason of the last upstream is more precise than that of a pool without candidates.
+            const auto hasSent = attempts.sent > 0 && decision.refusal == Reason::NoUpstream;
+            co_return finalRefusal(attempts, hasSent ? attempts.last.reason : decision.refusal,
                                    std::max(decision.retryAfter, attempts.last.retryAfter));
         }
 
@@ -247,23 +249,24 @@
         if (attempts.last.outcome == Outcome::Answered)
             co_return std::move(attempts.last);
         const auto step = nextStep(call, routes, attempts);
-        noteRetryDecision(call, step, attempts);
+        recordRetryDecision(call, step, attempts);
         if (step == RetryDecision::GiveUp)
             co_return finalRefusal(attempts, attempts.last.reason, attempts.last.retryAfter);
         if (step == RetryDecision::Retry)
-            payForRetry(routes, attempts);
+            chargeRetry(routes, attempts);
         attempts.excluded.push_back(*decision.node);
     }
 }
 
-/// The backend server itself refused the last attempt: it did not run, but it arrived.
+/// Returns whether a backend server received the last attempt and refused to run it.
 auto Entry::wasShed(const Attempts &attempts) -> bool
 {
     return attempts.last.outcome == Outcome::NotRun && attempts.last.reason == Reason::BackendShed;
 }
 
-/// The root's budget bounds runs, the service's bucket arrivals.
-auto Entry::payForRetry(ServiceRoutes &routes, Attempts &attempts) -> void
+/// Spends a token of the service's bucket, which limits arrivals at the backend servers. Also spends a retry of the root's
+/// budget, which limits runs, unless a backend server of a routed call refused to run the last attempt.
+auto Entry::chargeRetry(ServiceRoutes &routes, Attempts &attempts) -> void
 {
     if (!m_protocol || !wasShed(attempts))
         attempts.budget.trySpend();
@@ -278,8 +281,8 @@
     request.remaining = call.deadline - start;
     const auto share = attempts.budget.startAttempt(call.hasDeeperCalls);
     request.retryBudget = share.retryBudget;
-    request.isRepeat = share.isRepeat || (m_protocol && attempts.hasArrived);
-    if (m_protocol && share.isRepeat && !attempts.hasArrived)
+    request.isRepeat = share.isRepeat || (m_protocol && attempts.hasReachedBackend);
+    if (m_protocol && share.isRepeat && !attempts.hasReachedBackend)
         routes.bucket.chargeRepeat();
     ++attempts.sent;
     routes.pool.didSend(node, start);
@@ -292,8 +295,8 @@
         attempts.budget.didReceiveAnswer(answer.unspentBudget);
     attempts.mayHaveRun =
             attempts.mayHaveRun || answer.wasDispatched || answer.outcome == Outcome::Unknown;
-    attempts.hasArrived = attempts.hasArrived || answer.outcome != Outcome::NotRun
-                          || answer.reason == Reason::BackendShed;
+    attempts.hasReachedBackend = attempts.hasReachedBackend || answer.outcome != Outcome::NotRun
+                                 || answer.reason == Reason::BackendShed;
     m_metrics.didEndAttempt(answer.outcome, answer.reason);
     routes.bucket.advanceTo(now);
     if (answer.outcome == Outcome::Answered)
@@ -332,7 +335,7 @@
     return decision;
 }
 
-/// The final answer of a call without a whole one. It is `not-run` only if no attempt can have reached a backend server.
+/// Returns the final answer of a call without a complete response. It is `not-run` only if no attempt may have run.
 auto Entry::finalRefusal(const Attempts &attempts, Reason reason, Duration retryAfter) -> CallAnswer
 {
     if (attempts.sent == 0)
@@ -351,7 +354,7 @@
     return answer;
 }
 
-/// The keys by which the decisions of one call are found.
+/// Adds the keys that identify the decisions of one call in the log.
 static auto addCall(log::Line &line, const CallRequest &request) -> void
 {
     line.add("service", request.service)
@@ -379,8 +382,8 @@
             .add("budget", attempts.budget.remaining());
 }
 
-auto Entry::noteRetryDecision(const IncomingCall &call, RetryDecision decision,
-                              const Attempts &attempts) -> void
+auto Entry::recordRetryDecision(const IncomingCall &call, RetryDecision decision,
+                                const Attempts &attempts) -> void
 {
     m_metrics.didDecideRetry(decision);
     if (!log::isDecisionSampled())
--- a/source/node/Entry.h
+++ b/source/node/Entry.h
@@ -29,14 +29,14 @@
 
 namespace stairspur::node {
 
-/// Takes calls from callers and from this host's backend server; decides class, deadline, retry budget and upstream.
+/// Accepts calls from callers and from this host's backend server. Determines their class, deadline, retry budget and upstream.
 /// Belongs to the entry's thread.
 class Entry
 {
 public:
     Entry(transport::asio::io_context &io, const NodeSettings &settings, NodeBoard &board,
           RunningCalls &running, NodeMetrics &metrics, transport::PeerClient &peers,
-          Incarnation start, std::uint64_t seed, QuotaKeeper::Send askForTokens,
+          Incarnation start, std::uint64_t seed, QuotaKeeper::Send sendTokenRequest,
           const CallProtocol *protocol = nullptr);
 
     ~Entry();
@@ -45,52 +45,53 @@
     auto operator=(const Entry &) -> Entry & = delete;
     auto operator=(Entry &&) -> Entry & = delete;
 
-    /// Answers one HTTP request. Its response is final: nothing runs for it afterwards.
+    /// Serves one HTTP request. Nothing runs for the request once its response is returned.
     auto handle(transport::HttpRequest request, transport::CancellationPtr cancellation)
             -> transport::Task<transport::HttpResponse>;
 
-    /// A grantor has answered an ask for tokens.
+    /// Receives a grantor's reply to a token request.
     auto didGrant(const quota::TokenGrant &grant) -> void { m_callers.quotas().receive(grant); }
 
-    /// Takes over limits that a newer configuration has changed.
+    /// Applies the limits of a newer configuration.
     auto didChangeConfiguration() -> void { m_routes.didChangeConfiguration(); }
 
-    /// Sends one call to upstreams until it has a final answer.
+    /// Sends one call to upstreams until it has a final answer, and returns that answer.
     auto route(IncomingCall call, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
 
-    /// Has a call whose key is bound executed once, by whichever upstream of its service takes it. It is sent to another
-    /// one only after a proven `not-run`.
+    /// Executes a call whose key is bound to a slot at most once, at any upstream of its service. Sends it to another upstream
+    /// only after an answer `not-run`.
     auto executeKeyed(transport::CallRequest request, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
 
 private:
-    /// One call on its way: what is left of its budget, and what is known of its attempts.
+    /// The remaining retry budget of a call and the results of its attempts.
     struct Attempts
     {
         std::vector<NodeId> excluded{};
         retry::CallBudget budget;
         std::uint32_t sent = 0;
         bool mayHaveRun = false;
-        bool hasArrived = false;      ///< A backend server has got it, whether it ran it or not.
-        transport::CallAnswer last{}; ///< Of the latest attempt.
+        bool hasReachedBackend =
+                false; ///< A backend server received the call, whether it ran it or not.
+        transport::CallAnswer last{}; ///< Answer to the latest attempt.
     };
 
     auto readIncoming(transport::HttpRequest request,
                       const config::ConfigurationIndex &configuration, TimePoint start)
             -> IncomingCall;
-    auto refuse(const CallerDecision &verdict) -> transport::HttpResponse;
-    /// Learns from a deeper call how often its kind is made, and tells the call.
-    auto noteDeeperCall(IncomingCall &call, std::uint32_t ordinal) -> void;
-    auto routeShare(IncomingCall call, const ChildShare &share,
-                    const transport::CancellationPtr &cancellation)
+    auto refuse(const CallerDecision &decision) -> transport::HttpResponse;
+    /// Records a deeper call in the observed calls, and sets the call counts in its request.
+    auto recordDeeperCall(IncomingCall &call, std::uint32_t ordinal) -> void;
+    auto routeWithShare(IncomingCall call, const ChildShare &share,
+                        const transport::CancellationPtr &cancellation)
             -> transport::Task<transport::CallAnswer>;
     auto routeKeyed(IncomingCall call, Attempts &attempts,
                     const transport::CancellationPtr &cancellation, bool isQuery)
             -> transport::Task<transport::CallAnswer>;
     auto refreshKeyedRouter() -> void;
     [[nodiscard]] static auto wasShed(const Attempts &attempts) -> bool;
-    auto payForRetry(ServiceRoutes &routes, Attempts &attempts) -> void;
+    auto chargeRetry(ServiceRoutes &routes, Attempts &attempts) -> void;
     auto attemptUntilFinal(const IncomingCall &call, ServiceRoutes &routes, Attempts &attempts,
                            const transport::CancellationPtr &cancellation)
             -> transport::Task<transport::CallAnswer>;
@@ -99,7 +100,7 @@
             -> transport::Task<void>;
     auto finalRefusal(const Attempts &attempts, Reason reason, Duration retryAfter)
             -> transport::CallAnswer;
-    /// Whether the service's bucket has a token for a call that wants one; notes that it does.
+    /// Returns whether the service's bucket has a token for the call, and records the demand for it.
     [[nodiscard]] auto hasToken(const transport::CallRequest &request, ServiceRoutes &routes) const
             -> bool;
     [[nodiscard]] auto nextStep(const IncomingCall &call, ServiceRoutes &routes,
@@ -107,8 +108,8 @@
 
     auto logDecision(const IncomingCall &call, const routing::RouteDecision &decision,
                      const Attempts &attempts) -> void;
-    auto noteRetryDecision(const IncomingCall &call, retry::RetryDecision decision,
-                           const Attempts &attempts) -> void;
+    auto recordRetryDecision(const IncomingCall &call, retry::RetryDecision decision,
+                             const Attempts &attempts) -> void;
 
     transport::asio::io_context &m_io;
     const NodeSettings &m_settings;
@@ -124,7 +125,7 @@
     ServiceRouteTable m_routes;
     ObservedCalls m_observedCalls;
     FloorTeller m_floorTeller;
-    const CallProtocol *m_protocol; ///< Null: the product's own.
+    const CallProtocol *m_protocol; ///< Null for the product's own protocol.
 };
 
 } // namespace stairspur::node
--- a/source/node/MetricsByClass.h
+++ b/source/node/MetricsByClass.h
@@ -12,8 +12,8 @@
 
 namespace stairspur::node {
 
-/// The same metrics once for each service class. Belongs to one thread: a class is looked up without a lock, and only
-/// its first call asks the registry. Configurations have a handful of classes, so a list is searched.
+/// Holds one set of metrics for each service class. Belongs to one thread, so a class is looked up without a lock; only its
+/// first call uses the registry. Configurations have few classes, so a linear search is enough.
 template <typename Metrics>
 class MetricsByClass
 {
@@ -22,18 +22,18 @@
         : m_registry(registry)
     {}
 
-    /// What counts for `className`; made at its first call.
+    /// Returns the metrics of `className`, which are created at its first call.
     auto operator[](std::string_view className) -> Metrics &
     {
         const auto it = std::ranges::find(m_classes, className, &Class::first);
         if (it != m_classes.end())
             return *it->second;
-        // Names come with the calls of other nodes: their number is bounded, whatever those send.
+        // Other nodes send the names with their calls, so their number is limited here.
         return m_classes.size() < MaxClasses ? add(className) : other();
     }
 
 private:
-    /// Twice as many as one configuration can have, for those that have been renamed.
+    /// Maximum number of classes: twice as many as one configuration can have, to leave room for renamed ones.
     static constexpr std::size_t MaxClasses = 64;
     static constexpr std::string_view OtherClasses = "other";
 
--- a/source/node/ObservedCalls.h
+++ b/source/node/ObservedCalls.h
@@ -11,54 +11,54 @@
 
 namespace stairspur::node {
 
-/// A call that a backend server makes for requests of some path.
+/// A kind of call that a backend server makes for requests of a path.
 struct DeeperCall
 {
     std::string service;
-    PathKey path = NoPath; ///< Of the call itself, at the service that it goes to.
+    PathKey path = NoPath; ///< Path of the call itself, at its service.
 
     auto operator<=>(const DeeperCall &) const = default;
 };
 
-/// Which services this host's backend server calls for requests of each path, and how often, as far as its calls have shown.
-/// It stands in for call paths where the configuration has none.
+/// Records which services this host's backend server calls for requests of each path, and how often. It replaces call paths
+/// where the configuration has none.
 class ObservedCalls
 {
 public:
-    /// While it ran a request of class `rank` and `path`, the backend server made `call`, which is the `ordinal`-th of its
-    /// kind that this request made.
+    /// Records that the backend server made `call` while it ran a request of the class and path `of`. `ordinal` is the number
+    /// of the call among those of its kind that this request made.
     auto didCall(FloorKey of, const DeeperCall &call, std::uint32_t ordinal, TimePoint now) -> void;
 
-    /// How many calls like `call` a request of `path` makes: the most that one has made lately. The mean would shrink just
-    /// when requests fail half way. 1 where nothing is known.
+    /// Returns the number of calls like `call` that a request of `path` makes: the maximum of recent requests, or 1 if none was
+    /// observed. The mean is not used because it decreases when requests fail half way.
     [[nodiscard]] auto callsPerRequest(PathKey path, const DeeperCall &call) const -> std::uint32_t;
 
-    /// What was called for one path, and for which classes.
+    /// The calls that were observed for one path.
     struct Path
     {
         PathKey path = NoPath;
         std::vector<DeeperCall> calls;
     };
 
-    /// The paths that have made calls lately, with these calls.
+    /// Returns the paths with recent calls, and these calls.
     [[nodiscard]] auto paths(TimePoint now) const -> std::vector<Path>;
 
-    /// The least important class that has made calls lately: its floors hold for all that are observed.
+    /// Returns the rank of the least important class of all observed requests. Its floors apply to all of them.
     [[nodiscard]] auto leastImportantRank() const -> ClassRank { return m_leastImportantRank; }
 
 private:
-    /// Long enough for a path that is refused for a while to be remembered, short enough for a new version of the
-    /// backend server to be learnt.
-    static constexpr auto Memory = Duration{60'000'000};
+    /// Time for which a call is kept. It is long enough for the calls of a path that is refused for a while, and short enough
+    /// to follow a new version of the backend server.
+    static constexpr auto RetentionTime = Duration{60'000'000};
 
-    struct Seen
+    struct Observation
     {
         TimePoint lastCall{};
-        std::uint32_t mostCalls = 0; ///< That one request made.
-        TimePoint mostSeenAt{};
+        std::uint32_t maxCalls = 0; ///< Maximum number that one request made.
+        TimePoint maxSeenAt{};
     };
 
-    std::unordered_map<PathKey, std::map<DeeperCall, Seen>> m_seen;
+    std::unordered_map<PathKey, std::map<DeeperCall, Observation>> m_observations;
     ClassRank m_leastImportantRank = 0;
 };
 
--- a/source/node/ServiceRouteTable.cpp
+++ b/source/node/ServiceRouteTable.cpp
@@ -43,10 +43,10 @@
     return {limits.successShare, limits.requestShare, size, limits.window};
 }
 
-auto ServiceRouteTable::noteFleetSize(const membership::MembershipView &view) -> void
+auto ServiceRouteTable::updateFleetSize(const membership::MembershipView &view) -> void
 {
-    const auto isThere = [](const auto &it) { return it.liveness != membership::Liveness::Dead; };
-    const auto n = static_cast<std::size_t>(std::ranges::count_if(view.members, isThere));
+    const auto isPresent = [](const auto &it) { return it.liveness != membership::Liveness::Dead; };
+    const auto n = static_cast<std::size_t>(std::ranges::count_if(view.members, isPresent));
     if (n <= m_fleetSize)
         return;
     m_fleetSize = n;
@@ -60,7 +60,7 @@
         return;
     routes.membersGeneration = generation;
     const auto view = m_board.members.read();
-    noteFleetSize(*view);
+    updateFleetSize(*view);
     auto upstreams = std::vector<routing::Upstream>();
     for (const auto &it : view->members) {
         const auto mayServe = it.state == membership::ServingState::Serving
--- a/source/node/ServiceRouteTable.h
+++ b/source/node/ServiceRouteTable.h
@@ -14,16 +14,16 @@
 
 namespace stairspur::node {
 
-/// What an entry keeps for one service.
+/// The upstreams and the retry bucket of one service at an entry.
 struct ServiceRoutes
 {
     std::string service;
     routing::UpstreamPool pool;
     retry::RetryTokenBucket bucket;
-    std::uint64_t membersGeneration = 0; ///< Of the blackboard's view that the pool has.
+    std::uint64_t membersGeneration = 0; ///< Generation of the blackboard's view that the pool has.
 };
 
-/// The services that an entry has sent calls to, kept up to date with membership and configuration. Belongs to the
+/// The routes to all services that an entry has sent calls to. They follow membership and configuration. Belongs to the
 /// entry's thread.
 class ServiceRouteTable
 {
@@ -33,33 +33,33 @@
         , m_board(board)
     {}
 
-    /// The routes of a service; made when it is first asked for. They stay where they are.
+    /// Returns the routes of a service, which are created at its first use. The reference stays valid.
     auto routesFor(const std::string &service) -> ServiceRoutes &;
 
-    /// Takes a newer view of the members over.
+    /// Applies the latest view of the members.
     auto refreshMembers(ServiceRoutes &routes) -> void;
 
-    /// Tells all services whether calls to a host can be sent.
+    /// Sets for all services whether calls to a node can be sent.
     auto setReachable(const NodeId &node, bool isReachable) -> void;
 
-    /// Takes over limits that a newer configuration has changed.
+    /// Applies the limits of a newer configuration.
     auto didChangeConfiguration() -> void;
 
-    /// The floor that a call of class `rank` meets at a deeper service; none where no call has gone there yet.
+    /// Returns the floor of a deeper service for a call of class `rank`, or the lowest level if no call was sent there.
     [[nodiscard]] auto floorAt(const DeeperCall &call, ClassRank rank, TimePoint now) const
             -> Level;
 
 private:
-    /// A node that knows no others yet must not take the retries of the whole fleet for its own.
-    static constexpr auto LeastFleetSize = std::size_t{16};
+    /// Minimum fleet size. It keeps a node that has received no members yet from using the retries of the whole fleet.
+    static constexpr auto MinFleetSize = std::size_t{16};
 
     [[nodiscard]] auto bucketLimits() const -> retry::BucketLimits;
-    auto noteFleetSize(const membership::MembershipView &view) -> void;
+    auto updateFleetSize(const membership::MembershipView &view) -> void;
 
     const NodeSettings &m_settings;
     const NodeBoard &m_board;
     std::unordered_map<std::string, std::unique_ptr<ServiceRoutes>> m_routes;
-    std::size_t m_fleetSize = LeastFleetSize; ///< The most hosts that were known at once.
+    std::size_t m_fleetSize = MinFleetSize; ///< Maximum number of simultaneous members.
 };
 
 } // namespace stairspur::node
--- a/tests/node/TestObservedCalls.cpp
+++ b/tests/node/TestObservedCalls.cpp
@@ -10,7 +10,7 @@
 static constexpr auto Views = FloorKey(2, 11);
 static constexpr auto Orders = FloorKey(0, 22);
 
-Test(ObservedCalls, callsAreLearntByPath)
+Test(ObservedCalls, callsAreRecordedByPath)
 {
     auto calls = ObservedCalls();
     calls.didCall(Orders, {"maps", 33}, 1, Start);
@@ -25,7 +25,7 @@
     cr_assert_eq(calls.leastImportantRank(), 2);
 }
 
-Test(ObservedCalls, whatIsNotCalledForAWhileIsForgotten)
+Test(ObservedCalls, callsExpireAfterTheRetentionTime)
 {
     auto calls = ObservedCalls();
     calls.didCall(Views, {"maps", 33}, 1, Start);
@@ -35,14 +35,14 @@
     cr_assert(calls.paths(Start + 91s).empty());
 }
 
-Test(ObservedCalls, callsOfOneKindAreCountedByTheMostThatOneRequestMade)
+Test(ObservedCalls, callsPerRequestIsTheRecentMaximum)
 {
     auto calls = ObservedCalls();
-    cr_assert_eq(calls.callsPerRequest(Views.path, {"maps", 33}), 1, "nothing is known");
+    cr_assert_eq(calls.callsPerRequest(Views.path, {"maps", 33}), 1, "nothing was observed");
     for (auto ordinal = 1U; ordinal <= 4; ++ordinal)
         calls.didCall(Views, {"maps", 33}, ordinal, Start);
     cr_assert_eq(calls.callsPerRequest(Views.path, {"maps", 33}), 4);
-    // Trouble ends requests after their first call: that is no smaller need.
+    // Requests that fail after their first call don't reduce the number of calls that a request needs.
     for (auto n = 0; n < 100; ++n)
         calls.didCall(Views, {"maps", 33}, 1, Start + 30s);
     cr_assert_eq(calls.callsPerRequest(Views.path, {"maps", 33}), 4);
