--- a/source/node/CallIntake.cpp
+++ b/source/node/CallIntake.cpp
@@ -17,7 +17,7 @@
 static constexpr auto MaxKeyLength = std::size_t{256};
 static constexpr auto HexBase = 16;
 
-/// Where a call's class may come from.
+/// The caller, the class and the root of a call, with the limits that they imply.
 struct CallOrigin
 {
     std::string caller;
@@ -42,25 +42,26 @@
 {
     const auto authorization = headers.find(header::Authorization);
     if (!authorization.starts_with(BearerScheme)) {
-        throw CallRejected(
-                Reason::Unauthorized, "the request has no bearer key",
-                "send 'Authorization: Bearer KEY' with the key that the operators gave you");
+        throw CallRejected(Reason::Unauthorized, "the request has no bearer key",
+                           "send 'Authorization: Bearer KEY' with the key from the operators");
     }
     const auto *caller =
             configuration.findCallerByKeyHash(sha256Hex(authorization.substr(BearerScheme.size())));
     if (!caller) {
-        throw CallRejected(Reason::Unauthorized, "the bearer key is not in the configuration",
-                           "ask the operators for a key, or have its SHA-256 added to the file");
+        throw CallRejected(
+                Reason::Unauthorized, "the bearer key is not in the configuration",
+                "request a key from the operators, or have its SHA-256 added to the configuration");
     }
     return *caller;
 }
 
-/// The class that a caller asks for, or its first. A caller cannot name itself a class that it did not pay for.
-static auto chooseClass(const config::Caller &caller, std::string_view wanted,
+/// Returns the class that a caller requests, or its first class. Throws CallRejected if the configuration does not give the
+/// class to the caller.
+static auto chooseClass(const config::Caller &caller, std::string_view requested,
                         const config::ConfigurationIndex &configuration)
         -> const config::PriorityClass *
 {
-    const auto name = wanted.empty() ? std::string_view(caller.classes.front()) : wanted;
+    const auto name = requested.empty() ? std::string_view(caller.classes.front()) : requested;
     const auto *found = configuration.findClass(name);
     if (!found) {
         throw CallRejected(Reason::UnknownClass,
@@ -78,10 +79,10 @@
 
 static auto newRootId(Random &random) -> RootId
 {
-    return {random(), random() | 1U}; // Never all zeroes, which W3C forbids.
+    return {random(), random() | 1U}; // W3C Trace Context forbids an id of zeroes.
 }
 
-/// The trace id of a `traceparent` header: version-traceid-parentid-flags (W3C Trace Context, section 3.2).
+/// Returns the trace id of a `traceparent` header: version-traceid-parentid-flags (W3C Trace Context, section 3.2).
 static auto readRootId(std::string_view traceParent, Random &random) -> RootId
 {
     static constexpr auto TraceIdStart = std::size_t{3};
@@ -89,8 +90,7 @@
     if (traceParent.empty())
         return newRootId(random);
     if (traceParent.size() < TraceIdStart + TraceIdLength || traceParent[2] != '-')
-        return newRootId(
-                random); // The standard asks to start a new trace when the header cannot be read.
+        return newRootId(random); // The standard requires a new trace if the header cannot be read.
     try {
         return parseRootId(std::string(traceParent.substr(TraceIdStart, TraceIdLength)));
     } catch (const InputError &) {
@@ -98,55 +98,56 @@
     }
 }
 
-static auto standingOfCaller(const transport::HeaderList &headers,
+static auto readCallerOrigin(const transport::HeaderList &headers,
                              const config::ConfigurationIndex &configuration, Random &random)
         -> CallOrigin
 {
     const auto &caller = findCaller(headers, configuration);
-    auto standing = CallOrigin();
-    standing.caller = caller.name;
-    standing.quota = caller.quota;
-    standing.priorityClass = chooseClass(caller, headers.find(header::Class), configuration);
-    standing.root = readRootId(headers.find(header::TraceParent), random);
-    return standing;
+    auto origin = CallOrigin();
+    origin.caller = caller.name;
+    origin.quota = caller.quota;
+    origin.priorityClass = chooseClass(caller, headers.find(header::Class), configuration);
+    origin.root = readRootId(headers.find(header::TraceParent), random);
+    return origin;
 }
 
-/// The lower of the parent's class and the one that is asked for.
-static auto lowerClass(const RunningCall &parent, std::string_view wanted,
+/// Returns the less important of the parent's class and the requested class.
+static auto lowerClass(const RunningCall &parent, std::string_view requested,
                        const config::ConfigurationIndex &configuration)
         -> const config::PriorityClass *
 {
     const auto *inherited = configuration.findClass(parent.className);
-    const auto *asked = wanted.empty() ? nullptr : configuration.findClass(wanted);
-    if (!wanted.empty() && !asked) {
+    const auto *requestedClass = requested.empty() ? nullptr : configuration.findClass(requested);
+    if (!requested.empty() && !requestedClass) {
         throw CallRejected(
-                Reason::UnknownClass, "the class '" + std::string(wanted) + "' does not exist",
+                Reason::UnknownClass, "the class '" + std::string(requested) + "' does not exist",
                 "name a class of the configuration in Stairspur-Class, or leave the header out");
     }
     if (!inherited)
-        return asked ? asked
-                     : &configuration.whole()
-                                .classes.back(); // The class went with a newer configuration.
-    return asked && asked->rank > inherited->rank ? asked : inherited;
+        return requestedClass
+                       ? requestedClass
+                       : &configuration.whole()
+                                  .classes.back(); // A newer configuration has removed the class.
+    return requestedClass && requestedClass->rank > inherited->rank ? requestedClass : inherited;
 }
 
-static auto standingOfParent(CallId parentId, const transport::HeaderList &headers,
+static auto readParentOrigin(CallId parentId, const transport::HeaderList &headers,
                              const config::ConfigurationIndex &configuration,
                              const RunningCalls &running) -> CallOrigin
 {
     const auto parent = running.find(parentId);
     if (!parent) {
         throw CallRejected(Reason::ParentUnknown,
-                           "the call named by Stairspur-Call does not run on this host",
-                           "repeat the header of the call that you are answering, and stop work "
-                           "for calls that were cancelled");
+                           "the call in Stairspur-Call does not run on this host",
+                           "repeat the header of the call that you are serving, and stop the work "
+                           "for cancelled calls");
     }
-    auto standing = CallOrigin();
-    standing.caller = parent->caller;
-    standing.priorityClass = lowerClass(*parent, headers.find(header::Class), configuration);
-    standing.root = parent->root;
-    standing.parentDeadline = parent->deadline;
-    return standing;
+    auto origin = CallOrigin();
+    origin.caller = parent->caller;
+    origin.priorityClass = lowerClass(*parent, headers.find(header::Class), configuration);
+    origin.root = parent->root;
+    origin.parentDeadline = parent->deadline;
+    return origin;
 }
 
 static auto readParentId(const transport::HeaderList &headers) -> std::optional<CallId>
@@ -157,13 +158,13 @@
     const auto id = parseNumber(text, HexBase);
     if (!id) {
         throw CallRejected(Reason::BadRequest, "Stairspur-Call is not a hexadecimal number",
-                           "repeat the header exactly as the call that you are answering had it");
+                           "repeat the header of the call that you are serving without a change");
     }
     return id;
 }
 
-/// The id alone proves much already; this keeps one that leaked from being used elsewhere. Checked before the id is
-/// looked up, so that other hosts cannot even ask which ids are running.
+/// Throws CallRejected unless the request comes from this host. The id authorizes deeper calls; this check prevents the use
+/// of a leaked id on another host. It precedes the lookup of the id, so other hosts cannot find out which ids are running.
 static auto ensureFromOwnHost(const std::string &remoteAddress, std::string_view ownAddress) -> void
 {
     auto ec = boost::system::error_code();
@@ -171,9 +172,9 @@
     if (!ec && (remote.is_loopback() || remoteAddress == ownAddress))
         return;
     throw CallRejected(Reason::ParentUnknown,
-                       "Stairspur-Call names a call of a backend server of this host, but the "
-                       "request comes from elsewhere",
-                       "send deeper calls to the entry port of the own host; other callers send "
+                       "Stairspur-Call is a call of a backend server of this host, but the "
+                       "request comes from another host",
+                       "send deeper calls to the entry port of their own host; other callers send "
                        "their bearer key and no Stairspur-Call");
 }
 
@@ -189,7 +190,7 @@
     if (!service) {
         throw CallRejected(Reason::UnknownService,
                            "the service '" + std::string(name) + "' is not in the configuration",
-                           "check its spelling, or apply a file that has it");
+                           "check the spelling, or apply a configuration with this service");
     }
     return *service;
 }
@@ -216,12 +217,12 @@
     const auto key = headers.find(header::IdempotencyKey);
     if (key.size() > MaxKeyLength) {
         throw CallRejected(Reason::BadRequest, "the Idempotency-Key is longer than 256 characters",
-                           "send a UUID, best of version 7");
+                           "send a UUID, preferably of version 7");
     }
     if (key.empty() && !service.isIdempotent) {
         throw CallRejected(Reason::BadRequest,
                            "calls of the service '" + service.name + "' need an Idempotency-Key",
-                           "send a UUID, best of version 7, and the same one when you ask again");
+                           "send a UUID, preferably of version 7, and repeat it on each retry");
     }
     return service.isIdempotent ? std::string() : std::string(key);
 }
@@ -235,28 +236,28 @@
     call.parent = readParentId(headers);
     if (call.parent)
         ensureFromOwnHost(request.remoteAddress, ownAddress);
-    const auto standing = call.parent
-                                  ? standingOfParent(*call.parent, headers, configuration, running)
-                                  : standingOfCaller(headers, configuration, random);
+    const auto origin = call.parent
+                                ? readParentOrigin(*call.parent, headers, configuration, running)
+                                : readCallerOrigin(headers, configuration, random);
     const auto &service = findService(headers, configuration);
     if (request.body.size() > service.limits.maxRequestBytes) {
         throw CallRejected(Reason::TooLarge, "the body is larger than the service allows",
                            "send less, or raise max_request_bytes of the service");
     }
     call.deadline = now + readTimeout(headers, service.limits);
-    if (standing.parentDeadline)
-        call.deadline = std::min(call.deadline, *standing.parentDeadline);
+    if (origin.parentDeadline)
+        call.deadline = std::min(call.deadline, *origin.parentDeadline);
     call.needsConfigurationProof = !call.parent;
-    call.quota = standing.quota;
+    call.quota = origin.quota;
     call.isIdempotent = service.isIdempotent;
     call.hasDeeperCalls =
-            !configuration.deeperServices(service.name, standing.priorityClass->rank).empty();
+            !configuration.deeperServices(service.name, origin.priorityClass->rank).empty();
     call.request.idempotencyKey = readIdempotencyKey(headers, service);
     call.request.service = service.name;
-    call.request.className = standing.priorityClass->name;
-    call.request.root = standing.root;
-    call.request.level = makeLevel(standing.priorityClass->rank, standing.root.hash());
-    call.request.caller = standing.caller;
+    call.request.className = origin.priorityClass->name;
+    call.request.root = origin.root;
+    call.request.level = makeLevel(origin.priorityClass->rank, origin.root.hash());
+    call.request.caller = origin.caller;
     call.request.retryBudget = configuration.whole().retry.extraAttempts;
     call.request.headers = endToEndHeaders(headers);
     call.request.method = std::move(request.method);
--- a/source/node/CallerAdmission.cpp
+++ b/source/node/CallerAdmission.cpp
@@ -12,18 +12,19 @@
 namespace asio = transport::asio;
 using transport::Task;
 
-/// Kept of the bound, for clocks of two hosts that don't run equally fast.
+/// Margin subtracted from the bound, for clocks of two hosts that run at different speeds.
 static constexpr auto ClockMargin = Duration{50'000};
-/// When to come back to a host without a fresh proof: they come about once a second.
+/// Retry delay at a host without a fresh proof. Proofs arrive about once a second.
 static constexpr auto ProofRetryAfter = Duration{1'000'000};
-/// When to come back to a node that has no configuration yet.
+/// Retry delay at a node that has no configuration yet.
 static constexpr auto NoConfigurationRetryAfter = Duration{1'000'000};
-/// How long a request with an unknown key waits for a proof: somewhat longer than it takes between two.
-static constexpr auto MostProofWait = Duration{1'600'000};
-static constexpr auto ProofLookInterval = Duration{20'000};
-/// Requests with unknown keys that wait at once; they hold a connection each.
-static constexpr auto MostWaitingForProof = std::uint32_t{256};
-/// A newer configuration came while the key was looked for: it may hold it.
+/// Maximum time for which a request with an unknown key waits for a proof. It is longer than the interval between two
+/// proofs.
+static constexpr auto MaxProofWait = Duration{1'600'000};
+static constexpr auto ProofPollInterval = Duration{20'000};
+/// Maximum number of requests with unknown keys that wait at once. Each occupies a connection.
+static constexpr auto MaxWaitingForProof = std::uint32_t{256};
+/// Retry delay if a newer configuration arrived during the wait, which may have the key.
 static constexpr auto NewerRetryAfter = Duration{20'000};
 
 auto isProofFresh(const ConfigurationProof &proof, Duration revocationBound, TimePoint now) -> bool
@@ -54,10 +55,11 @@
 {
     if (call.needsConfigurationProof
         && !isProofFresh(proof, m_settings.revocationBound, monotonicNow()))
-        co_return CallerDecision{Reason::StaleConfiguration,
-                                 "this host cannot tell whether the key still holds; come back, or "
-                                 "ask another host",
-                                 ProofRetryAfter};
+        co_return CallerDecision{
+                Reason::StaleConfiguration,
+                "this host cannot verify that the key is still valid; retry later or at "
+                "another host",
+                ProofRetryAfter};
     if (!call.quota)
         co_return CallerDecision();
     const auto decision = co_await m_quotas.admit(call.request.caller, *call.quota);
@@ -65,14 +67,14 @@
         co_return CallerDecision{.token = decision};
     co_return CallerDecision{Reason::QuotaExceeded,
                              "the caller sends more requests than its quota allows; send fewer, or "
-                             "ask the operators for a greater quota",
+                             "request a larger quota from the operators",
                              decision.retryAfter};
 }
 
-auto CallerAdmission::didNotRun(const std::string &caller, const CallerDecision &verdict) -> void
+auto CallerAdmission::didNotRun(const std::string &caller, const CallerDecision &decision) -> void
 {
-    if (verdict.token)
-        m_quotas.giveBack(caller, *verdict.token);
+    if (decision.token)
+        m_quotas.giveBack(caller, *decision.token);
 }
 
 auto CallerAdmission::checkUnknownKey(std::uint64_t version, TimePoint arrivedAt,
@@ -81,7 +83,7 @@
 {
     auto unauthorized = CallerDecision{Reason::Unauthorized,
                                        "the key of the request is not in the configuration; send "
-                                       "the key that the operators gave you"};
+                                       "the key from the operators"};
     if (m_settings.revocationBound <= Duration::zero())
         co_return unauthorized;
     const auto isProven = co_await waitForProof(arrivedAt, cancellation);
@@ -90,26 +92,26 @@
     if (isProven && !isNewer)
         co_return unauthorized;
     co_return CallerDecision{Reason::StaleConfiguration,
-                             "this host cannot tell yet whether the key holds; come back",
+                             "this host cannot verify yet whether the key is valid; retry later",
                              isNewer ? NewerRetryAfter : ProofRetryAfter};
 }
 
 auto CallerAdmission::waitForProof(TimePoint since, const transport::CancellationPtr &cancellation)
         -> Task<bool>
 {
-    const auto isThere = [this, since] {
+    const auto hasProof = [this, since] {
         const auto proof = m_board.configurationProof.read();
         return proof->provenAt && *proof->provenAt >= since;
     };
-    if (m_waitingForProof >= MostWaitingForProof)
-        co_return isThere();
+    if (m_waitingForProof >= MaxWaitingForProof)
+        co_return hasProof();
     ++m_waitingForProof;
-    while (!isThere() && monotonicNow() < since + MostProofWait && !cancellation->isCancelled()) {
-        auto timer = transport::Timer(m_io, ProofLookInterval);
+    while (!hasProof() && monotonicNow() < since + MaxProofWait && !cancellation->isCancelled()) {
+        auto timer = transport::Timer(m_io, ProofPollInterval);
         co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
     }
     --m_waitingForProof;
-    co_return isThere();
+    co_return hasProof();
 }
 
 } // namespace stairspur::node
--- a/source/node/CallerAdmission.h
+++ b/source/node/CallerAdmission.h
@@ -18,41 +18,42 @@
 
 namespace stairspur::node {
 
-/// Whether the proof lets a host serve callers at `now`. A key that was taken away at some moment is still in a configuration
-/// that was the newest before it; once the bound has passed since, such a configuration admits nobody. Always true without a
-/// bound.
+/// Returns whether the proof lets a host serve callers at `now`. A configuration that was the latest one before a key was
+/// revoked still has this key, so it admits no callers once the revocation bound has passed since its proof. Always returns
+/// true without a bound.
 auto isProofFresh(const ConfigurationProof &proof, Duration revocationBound, TimePoint now) -> bool;
 
-/// What was decided on the caller of a request.
+/// The decision on the caller of a request.
 struct CallerDecision
 {
     Reason refusal = Reason::None;
-    std::string detail{}; ///< Of a refusal, with its remedy.
+    std::string detail{}; ///< Detail of a refusal, with its remedy.
     Duration retryAfter{0};
     std::optional<quota::QuotaDecision>
-            token{}; ///< What the request may run for, if its caller has a quota.
+            token{}; ///< Token of the request, if its caller has a quota.
 };
 
-/// For every request that comes to a node which has no configuration yet.
+/// Returns the refusal of requests to a node that has no configuration yet.
 auto refusalWithoutConfiguration() -> CallerDecision;
 
-/// Decides whether the caller of a request from outside may have it run now: whether its key still holds for certain, and
-/// whether its quota has room. Belongs to the entry's thread.
+/// Decides whether a request from outside may run now: whether its caller's key is proven to be valid, and whether the
+/// caller's quota has a token. Belongs to the entry's thread.
 class CallerAdmission
 {
 public:
     CallerAdmission(transport::asio::io_context &io, const NodeSettings &settings,
                     const NodeBoard &board, std::uint64_t seed, QuotaKeeper::Send send);
 
-    /// `proof`: read before the configuration by which the call was read.
+    /// Returns the decision on a call. `proof` must be read before the configuration that the call was read with.
     auto admit(const IncomingCall &call, const ConfigurationProof &proof)
             -> transport::Task<CallerDecision>;
 
-    /// The admitted request of `caller` ran nowhere.
-    auto didNotRun(const std::string &caller, const CallerDecision &verdict) -> void;
+    /// Records that the admitted request of `caller` ran nowhere.
+    auto didNotRun(const std::string &caller, const CallerDecision &decision) -> void;
 
-    /// Nobody of configuration `version` holds the key of a request that arrived at `arrivedAt`. A newer version may
-    /// hold it, and no caller asks again after a 401: it is said only when a proof later than the arrival has come.
+    /// Returns the decision on a request that arrived at `arrivedAt` with a key that configuration `version` does not have.
+    /// A newer version may have the key, and callers don't retry after a 401. Therefore the result is Unauthorized only if
+    /// a proof later than the arrival was received.
     auto checkUnknownKey(std::uint64_t version, TimePoint arrivedAt,
                          transport::CancellationPtr cancellation)
             -> transport::Task<CallerDecision>;
--- a/source/node/RoutedIntake.cpp
+++ b/source/node/RoutedIntake.cpp
@@ -11,13 +11,14 @@
     return hash64(attemptId);
 }
 
-/// Two halves that depend on the whole text, so that every host names the same root alike.
+/// Returns the id of a root. Both halves are hashes of the complete text, so all hosts compute the same id.
 static auto rootIdOf(const std::string &rootAttemptId) -> RootId
 {
     return {hash64(rootAttemptId), hash64(rootAttemptId + "/root") | 1U};
 }
 
-/// The same on every host, whatever version of the configuration it has.
+/// Returns the key of a route's path. It depends on the route's name only, so it is the same on all hosts and in all
+/// versions of the configuration.
 static auto pathKeyOf(const std::string &routeName) -> PathKey
 {
     return std::max(static_cast<PathKey>(hash64(routeName)), NoPath + 1);
@@ -29,12 +30,12 @@
     const auto *route = configuration.findRoute(request.host, request.path);
     if (!route)
         throw CallRejected(Reason::UnknownService,
-                           "no route fits '" + request.host + request.path + "'",
+                           "no route matches '" + request.host + request.path + "'",
                            "check host and path, or have the operators add a route");
     return *route;
 }
 
-/// One of the route's services, drawn by weight.
+/// Returns one of the route's services, chosen at random by weight.
 static auto drawTarget(const config::Route &route, Random &random) -> const std::string &
 {
     auto total = std::uint64_t{0};
@@ -49,47 +50,48 @@
     return route.targets.front().service;
 }
 
-/// A class by its name, or the least important one when a newer configuration has lost it.
-static auto classNamed(const std::string &name, const config::ConfigurationIndex &configuration)
+/// Returns the class of this name, or the least important class if a newer configuration has removed it.
+static auto findClassOrLowest(const std::string &name,
+                              const config::ConfigurationIndex &configuration)
         -> const config::PriorityClass &
 {
     const auto *found = configuration.findClass(name);
     return found ? *found : configuration.whole().classes.back();
 }
 
-/// Who makes a request from outside; null where the route asks for nobody.
+/// Returns the caller of a request from outside, or null if the route is public.
 static auto findCaller(const RoutedRequest &request, const config::Route &route,
                        const config::ConfigurationIndex &configuration) -> const config::Caller *
 {
     if (route.isPublic)
         return nullptr;
-    // A deeper call has no key of its own. One whose parent is not known could be anybody's.
+    // A deeper call has no key of its own, so its caller is unknown if its parent does not run on this host.
     if (!request.parentAttemptId.empty() && request.keySha256.empty())
         throw CallRejected(Reason::ParentUnknown,
                            "the call that this request belongs to does not run on this host",
-                           "stop work for calls that were cancelled");
+                           "stop the work for cancelled calls");
     const auto *caller = configuration.findCallerByKeyHash(request.keySha256);
     if (!caller)
         throw CallRejected(Reason::Unauthorized, "the request has no key of a caller",
-                           "send the key that the operators gave you");
+                           "send the key from the operators");
     return caller;
 }
 
-/// What a caller pays for goes before what its route is worth.
+/// Returns the class of a request. The caller's classes take precedence over the route's class.
 static auto classOf(const config::Route &route, const config::Caller *caller,
                     const config::ConfigurationIndex &configuration)
         -> const config::PriorityClass &
 {
     if (!caller || caller->classes.empty())
-        return classNamed(route.className, configuration);
+        return findClassOrLowest(route.className, configuration);
     const auto last = caller->classes.size() - 1;
-    return classNamed(caller->classes[std::min<std::size_t>(route.callerClass, last)],
-                      configuration);
+    return findClassOrLowest(caller->classes[std::min<std::size_t>(route.callerClass, last)],
+                             configuration);
 }
 
-static auto takeStanding(const RoutedRequest &request, const config::Route &route,
-                         const config::ConfigurationIndex &configuration,
-                         const std::optional<RunningCall> &parent, IncomingCall &call) -> void
+static auto setOrigin(const RoutedRequest &request, const config::Route &route,
+                      const config::ConfigurationIndex &configuration,
+                      const std::optional<RunningCall> &parent, IncomingCall &call) -> void
 {
     if (parent) {
         call.parent = callIdOf(request.parentAttemptId);
@@ -123,7 +125,7 @@
     const auto &ingress = configuration.whole().ingress;
     if (ingress && request.body.size() > ingress->maxBodyBytes)
         throw CallRejected(Reason::TooLarge, "the body is larger than the operators allow",
-                           "send less");
+                           "send a smaller body");
     auto call = IncomingCall();
     call.deadline = now + route.timeout;
     if (request.remaining)
@@ -131,7 +133,7 @@
     auto parent = std::optional<RunningCall>();
     if (!request.parentAttemptId.empty())
         parent = running.find(callIdOf(request.parentAttemptId));
-    takeStanding(request, route, configuration, parent, call);
+    setOrigin(request, route, configuration, parent, call);
     call.isIdempotent = route.isIdempotent;
     call.request.service = drawTarget(route, random);
     call.request.path = pathKeyOf(route.name);
--- a/source/node/RoutedIntake.h
+++ b/source/node/RoutedIntake.h
@@ -12,15 +12,15 @@
 
 namespace stairspur::node {
 
-/// The id under which a gate runs the attempt: the same on the entry of that host, which looks the parents of deeper
-/// calls up by it.
+/// Returns the id under which a gate runs the attempt. The entry of the same host computes the same id to find the parents
+/// of deeper calls.
 auto callIdOf(const std::string &attemptId) -> CallId;
 
-/// Finds the route of a request, and with it its service, class, deadline and attempts. Throws CallRejected.
+/// Finds the route of a request, which determines its service, class, deadline and attempts. Throws CallRejected.
 ///
-/// A deeper call whose parent runs on this host inherits class, root and deadline from it; it never outlives its parent.
-/// One whose parent is not known has the class of its own route; on a route that needs a caller it is refused, since
-/// nobody could say for whom it is made.
+/// A deeper call whose parent runs on this host inherits class and root from it, and its deadline is at most the parent's.
+/// A deeper call whose parent does not run on this host has the class of its own route. On a route that needs a caller it
+/// is refused, because its caller cannot be determined.
 auto routeCall(RoutedRequest request, const config::ConfigurationIndex &configuration,
                const RunningCalls &running, const std::string &ownService, TimePoint now,
                Random &random) -> IncomingCall;
--- a/source/node/RunningCalls.cpp
+++ b/source/node/RunningCalls.cpp
@@ -41,7 +41,7 @@
     if (it == m_records.end())
         return;
     it->second.children.erase(child);
-    it->second.hasFailedChild = it->second.hasFailedChild || !isAnswered;
+    it->second.hasUnansweredChild = it->second.hasUnansweredChild || !isAnswered;
     m_ledger.returnUnspent(parent, unspent);
 }
 
@@ -54,7 +54,8 @@
         const auto it = m_records.find(id);
         if (it == m_records.end())
             return closed;
-        closed.hadUnansweredDeeperCall = it->second.hasFailedChild || !it->second.children.empty();
+        closed.hadUnansweredDeeperCall =
+                it->second.hasUnansweredChild || !it->second.children.empty();
         children = std::move(it->second.children);
         m_records.erase(it);
         closed.unspentBudget = m_ledger.close(id);
--- a/source/node/RunningCalls.h
+++ b/source/node/RunningCalls.h
@@ -16,7 +16,7 @@
 
 namespace stairspur::node {
 
-/// What a deeper call inherits from the call that makes it, and may lower but never raise.
+/// The attributes of a running call. A deeper call inherits them; it may lower but not raise them.
 struct RunningCall
 {
     std::string className;
@@ -25,48 +25,48 @@
     TimePoint deadline;
     std::string caller;
     PathKey path = NoPath;
-    std::uint32_t callsPerRoot = 1; ///< See CallRequest, as the next one.
-    std::uint32_t callsLeft = 1;
+    std::uint32_t callsPerRoot = 1; ///< See CallRequest.
+    std::uint32_t callsLeft = 1;    ///< See CallRequest.
 };
 
-/// What a deeper call gets of its parent's retry budget.
+/// A deeper call's share of its parent's retry budget.
 struct ChildShare
 {
-    Reason refusal = Reason::None; ///< ParentUnknown or RetryBudgetSpent: the call may not start.
+    Reason refusal = Reason::None; ///< ParentUnknown or RetryBudgetSpent if the call may not start.
     std::uint32_t budget = 0;
     bool isRepeat = false;
     std::uint32_t ordinal =
-            1; ///< Of the deeper call among those of its path that the parent made, from 1 on.
+            1; ///< Number of the deeper call among those of its path that the parent made, from 1.
 };
 
-/// What remains of a call that ended.
+/// The remainder of an ended call.
 struct ClosedCall
 {
     std::uint32_t unspentBudget = 0;
-    bool hadUnansweredDeeperCall = false; ///< A deeper call had no answer, or still ran.
+    bool hadUnansweredDeeperCall = false; ///< A deeper call had no complete response, or still ran.
 };
 
-/// The calls that run at this host's backend server. The gate writes it; the entry asks it when a backend server makes a
-/// deeper call. The one piece of state that both traffic threads share, so it has a lock.
+/// The calls that run at this host's backend server. The gate writes them; the entry reads them when the backend server makes
+/// a deeper call. It has a lock, because both traffic threads use it.
 class RunningCalls
 {
 public:
     using CancelChild = std::function<void()>;
 
-    /// A call was dispatched; `budget` extra attempts are left for everything below it.
+    /// Records that a call was dispatched. `budget` is the number of extra attempts for all deeper calls below it.
     auto open(CallId id, RunningCall call, std::uint32_t budget, bool isRepeat) -> void;
 
-    /// The running call, or nothing when it has ended or never ran here.
+    /// Returns the running call, or nothing if it does not run here.
     [[nodiscard]] auto find(CallId id) const -> std::optional<RunningCall>;
 
-    /// A deeper call of `parent` starts and gets its share of the budget, unless the parent has ended meanwhile.
-    /// `cancel` is run, from the gate's thread, when the parent ends first.
+    /// Records the start of a deeper call of `parent` and returns its share of the budget. Refuses it if the parent has ended.
+    /// `cancel` is called on the gate's thread if the parent ends first.
     auto addChild(CallId parent, CallId child, PathKey path, CancelChild cancel) -> ChildShare;
 
-    /// The deeper call ended with `unspent` of its share left. `isAnswered`: with a whole answer.
+    /// Records the end of the deeper call with `unspent` of its share left. `isAnswered` means with a complete response.
     auto removeChild(CallId parent, CallId child, std::uint32_t unspent, bool isAnswered) -> void;
 
-    /// The call ended. Cancels its deeper calls, since nobody waits for them.
+    /// Records the end of the call. Cancels its deeper calls, since nobody waits for their results.
     auto close(CallId id) -> ClosedCall;
 
 private:
@@ -74,8 +74,9 @@
     {
         RunningCall call;
         std::unordered_map<CallId, CancelChild> children;
-        std::unordered_map<PathKey, std::uint32_t> callsMade; ///< Deeper calls so far, by path.
-        bool hasFailedChild = false;
+        std::unordered_map<PathKey, std::uint32_t>
+                callsMade; ///< Number of deeper calls made, by path.
+        bool hasUnansweredChild = false;
     };
 
     mutable std::mutex m_mutex;
--- a/tests/node/TestCallIntake.cpp
+++ b/tests/node/TestCallIntake.cpp
@@ -48,7 +48,7 @@
     Reason reason;
 };
 
-Test(CallIntake, whatIsNoCallIsRejectedWithItsReason)
+Test(CallIntake, invalidCallsAreRejectedWithTheirReasons)
 {
     const auto set = [](const char *name, const char *value) {
         return [=](transport::HttpRequest &it) { it.headers.set(name, value); };
@@ -57,14 +57,14 @@
             {"no key", [](auto &it) { it.headers.remove("Authorization"); }, Reason::Unauthorized},
             {"wrong scheme", set("Authorization", "Basic kitchen-key"), Reason::Unauthorized},
             {"wrong key", set("Authorization", "Bearer other"), Reason::Unauthorized},
-            {"class not paid for", set("Stairspur-Class", "settlement"), Reason::ClassNotAllowed},
+            {"class not granted", set("Stairspur-Class", "settlement"), Reason::ClassNotAllowed},
             {"unknown class", set("Stairspur-Class", "gold"), Reason::UnknownClass},
             {"no service", [](auto &it) { it.headers.remove("Stairspur-Service"); },
              Reason::BadRequest},
             {"unknown service", set("Stairspur-Service", "weather"), Reason::UnknownService},
-            {"timeout no number", set("Stairspur-Timeout", "soon"), Reason::BadRequest},
+            {"timeout not a number", set("Stairspur-Timeout", "soon"), Reason::BadRequest},
             {"timeout negative", set("Stairspur-Timeout", "-5"), Reason::BadRequest},
-            {"parent no number", set("Stairspur-Call", "xyz"), Reason::BadRequest},
+            {"parent not a number", set("Stairspur-Call", "xyz"), Reason::BadRequest},
             {"parent unknown", set("Stairspur-Call", "00000000000000ff"), Reason::ParentUnknown},
             {"key missing", set("Stairspur-Service", "order-intake"), Reason::BadRequest},
             {"body too large", [](auto &it) { it.body = std::string(11, 'x'); }, Reason::TooLarge},
@@ -83,7 +83,7 @@
     }
 }
 
-Test(CallIntake, outsideCallerGetsItsFirstClassAndItsTrace)
+Test(CallIntake, outsideCallerGetsItsFirstClassAndTrace)
 {
     auto request = sampleRequest();
     request.headers.set("traceparent", "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01");
@@ -97,7 +97,7 @@
                  "the key must not reach the backend server");
 }
 
-Test(CallIntake, deeperCallInheritsAndCanOnlyLower)
+Test(CallIntake, deeperCallInheritsClassAndCanOnlyLowerIt)
 {
     auto running = RunningCalls();
     const auto root = parseRootId("4bf92f3577b34da6a3ce929d0e0e4736");
@@ -119,14 +119,14 @@
         if (*it.wanted)
             request.headers.set("Stairspur-Class", it.wanted);
         const auto call = read(request, running);
-        cr_expect_eq(call.request.className, it.expected, "asked for '%s'", it.wanted);
+        cr_expect_eq(call.request.className, it.expected, "requested '%s'", it.wanted);
         cr_expect(call.request.root == root);
         cr_expect(call.deadline == Now + std::chrono::milliseconds(100),
                   "a deeper call never gets more time");
     }
 }
 
-Test(CallIntake, deeperCallsComeFromTheOwnHostAlone)
+Test(CallIntake, deeperCallsAreAcceptedFromTheOwnHostOnly)
 {
     auto running = RunningCalls();
     running.open(0xff, {"orders", makeLevel(1, 0), RootId{1, 2}, Now, "kitchen"}, 3, false);
@@ -152,7 +152,7 @@
     }
 }
 
-Test(RunningCalls, endOfParentCancelsItsChildren)
+Test(RunningCalls, endOfParentCancelsRunningChildren)
 {
     auto running = RunningCalls();
     auto cancelled = 0;
@@ -166,7 +166,7 @@
     cr_assert(running.addChild(1, 12, NoPath, [] {}).refusal == Reason::ParentUnknown);
 }
 
-Test(RunningCalls, onlyUnansweredChildrenHoldTheirParentUp)
+Test(RunningCalls, onlyUnansweredChildrenAreReported)
 {
     struct
     {
--- a/tests/node/TestRoutedIntake.cpp
+++ b/tests/node/TestRoutedIntake.cpp
@@ -80,7 +80,7 @@
     }
 };
 
-Test(RoutedIntake, theRouteGivesServiceClassAndAttempts)
+Test(RoutedIntake, routeDeterminesServiceClassAndAttempts)
 {
     auto intake = Intake();
     const auto call = intake.route(makeRequest("/m/1"));
@@ -93,26 +93,26 @@
     cr_assert(!call.parent);
 }
 
-Test(RoutedIntake, theDeadlineIsTheEarliestOfCallerAndRoute)
+Test(RoutedIntake, deadlineIsTheEarlierOfCallerAndRoute)
 {
     auto intake = Intake();
     cr_assert(intake.route(makeRequest("/v/1")).deadline == Now + 2s);
     cr_assert(intake.route(makeRequest("/m/1")).deadline == Now + 800ms);
-    auto patient = makeRequest("/v/1");
-    patient.remaining.reset();
-    cr_assert(intake.route(patient).deadline == Now + 5s);
+    auto withoutTimeout = makeRequest("/v/1");
+    withoutTimeout.remaining.reset();
+    cr_assert(intake.route(withoutTimeout).deadline == Now + 5s);
 }
 
-Test(RoutedIntake, weightsShareTheRequestsOut)
+Test(RoutedIntake, requestsAreDistributedByWeight)
 {
     auto intake = Intake();
     auto toBeta = 0;
     for (auto n = 0; n < 2000; ++n)
         toBeta += intake.route(makeRequest("/v/1")).request.service == "beta" ? 1 : 0;
-    cr_assert(toBeta > 140 && toBeta < 260, "%d of 2000, where 200 are due", toBeta);
+    cr_assert(toBeta > 140 && toBeta < 260, "%d of 2000, 200 expected", toBeta);
 }
 
-Test(RoutedIntake, aDeeperCallInheritsFromTheCallThatMakesIt)
+Test(RoutedIntake, deeperCallInheritsFromItsParent)
 {
     auto intake = Intake();
     const auto parent = RunningCall{"orders", makeLevel(0, 9), {1, 2}, Now + 300ms, {}};
@@ -122,13 +122,13 @@
     deeper.parentAttemptId = "root";
     const auto call = intake.route(deeper);
     cr_assert(call.parent == callIdOf("root"));
-    cr_assert_eq(call.request.level, parent.level, "all calls of a root stand or fall together");
+    cr_assert_eq(call.request.level, parent.level, "all calls of a root have the same level");
     cr_assert(call.request.root == parent.root);
     cr_assert_eq(call.request.className, "orders");
     cr_assert(call.deadline == Now + 300ms);
 }
 
-Test(RoutedIntake, aDeeperCallWhoseParentIsUnknownHasItsRoutesClass)
+Test(RoutedIntake, deeperCallOfUnknownParentHasTheClassOfItsRoute)
 {
     auto intake = Intake();
     auto deeper = makeRequest("/m/1");
@@ -139,13 +139,13 @@
     cr_assert_eq(call.request.className, "views");
 }
 
-Test(RoutedIntake, aClassThatIsGoneIsTheLeastImportantOne)
+Test(RoutedIntake, removedClassBecomesTheLeastImportantOne)
 {
     auto intake = Intake();
     cr_assert_eq(intake.route(makeRequest("/l/1")).request.className, "views");
 }
 
-Test(RoutedIntake, oneRootHasOneLevelOnEveryHost)
+Test(RoutedIntake, rootHasTheSameLevelOnEveryHost)
 {
     auto one = Intake();
     auto other = Intake();
@@ -154,11 +154,11 @@
               == other.route(makeRequest("/v/1")).request.level);
 }
 
-Test(RoutedIntake, whatHasNoRouteOrIsTooLargeIsRejected)
+Test(RoutedIntake, requestsWithoutRouteOrTooLargeAreRejected)
 {
     auto intake = Intake();
-    auto elsewhere = makeRequest("/v/1");
-    elsewhere.host = "b";
+    auto otherHost = makeRequest("/v/1");
+    otherHost.host = "b";
     auto large = makeRequest("/v/1");
     large.body = "12345";
     struct
@@ -167,7 +167,7 @@
         Reason reason;
     } const cases[] = {
             {makeRequest("/x/"), Reason::UnknownService},
-            {elsewhere, Reason::UnknownService},
+            {otherHost, Reason::UnknownService},
             {large, Reason::TooLarge},
     };
     for (const auto &it : cases) {
@@ -181,7 +181,7 @@
     }
 }
 
-Test(RoutedIntake, aPrivateRouteAsksForACaller)
+Test(RoutedIntake, privateRouteRequiresACaller)
 {
     auto intake = Intake();
     for (const auto *key : {"k1", "k2"}) {
@@ -190,18 +190,18 @@
         const auto call = intake.route(request);
         cr_expect_eq(call.request.caller, "kitchen");
         cr_expect_eq(call.request.className, "views",
-                     "the caller's second class, as the route says");
+                     "the caller's second class, as set by the route");
         cr_expect(call.needsConfigurationProof);
         cr_expect(call.quota == (config::RequestQuota{5, 2}));
     }
     auto request = makeRequest("/p/1");
     request.keySha256 = "k3";
     const auto call = intake.route(request);
-    cr_assert_eq(call.request.className, "orders", "its last one, when it has fewer");
+    cr_assert_eq(call.request.className, "orders", "the last class of a caller with fewer classes");
     cr_assert(!call.quota);
 }
 
-Test(RoutedIntake, aPublicRouteNamesNoCallerWhateverKeyComes)
+Test(RoutedIntake, publicRouteIgnoresKeys)
 {
     auto intake = Intake();
     auto request = makeRequest("/v/1");
@@ -222,7 +222,7 @@
     return Reason::None;
 }
 
-Test(RoutedIntake, withoutAKnownKeyAPrivateRouteServesNobody)
+Test(RoutedIntake, privateRouteRefusesUnknownKeys)
 {
     auto intake = Intake();
     for (const auto *key : {"", "k4", "K1"}) {
@@ -230,14 +230,14 @@
         request.keySha256 = key;
         cr_expect(reasonFor(intake, request) == Reason::Unauthorized, "key '%s'", key);
     }
-    auto orphan = makeRequest("/p/1");
-    orphan.attemptId = "root.child";
-    orphan.parentAttemptId = "root";
-    cr_assert(reasonFor(intake, orphan) == Reason::ParentUnknown,
-              "an id that names a parent is no way around the key");
+    auto deeper = makeRequest("/p/1");
+    deeper.attemptId = "root.child";
+    deeper.parentAttemptId = "root";
+    cr_assert(reasonFor(intake, deeper) == Reason::ParentUnknown,
+              "a parent id does not replace the key");
 }
 
-Test(RoutedIntake, aDeeperCallIsMadeForItsParentsCaller)
+Test(RoutedIntake, deeperCallHasTheCallerOfItsParent)
 {
     auto intake = Intake();
     auto parent = RunningCall{"orders", makeLevel(0, 9), {1, 2}, Now + 300ms, "kitchen"};
@@ -247,6 +247,6 @@
     deeper.parentAttemptId = "root";
     const auto call = intake.route(deeper);
     cr_assert_eq(call.request.caller, "kitchen");
-    cr_assert(!call.needsConfigurationProof, "it goes on when the key is taken away meanwhile");
+    cr_assert(!call.needsConfigurationProof, "deeper calls continue when the key is revoked");
     cr_assert(!call.quota);
 }
