--- a/tests/fuzz/call_headers/main.cpp
+++ b/tests/fuzz/call_headers/main.cpp
@@ -1,5 +1,5 @@
-// The header fields of a request from outside, on the platform's edge: whatever comes, no key and no caller's own word for who it is
-// goes on to a backend server.
+// Fuzzes the header fields of a request from outside the platform. The request to the backend server must contain no key, and
+// no caller name that the sender wrote itself.
 #include <cstddef>
 #include <cstdint>
 #include <cstdlib>
@@ -12,7 +12,7 @@
 
 using namespace stairspur;
 
-/// Lines of `name:value` as header fields.
+/// Returns the header fields of lines with `name:value`.
 static auto readHeaders(std::string_view text) -> transport::HeaderList
 {
     auto headers = transport::HeaderList();
@@ -45,7 +45,7 @@
         if (callers != 1 || sent.headers.find("X-Tenant") != "kitchen")
             std::abort();
     } catch (const node::CallRejected &) {
-        return 0; // The one error that the entry expects.
+        return 0; // The entry handles only this error.
     }
     return 0;
 }
--- a/tests/fuzz/call_intake/main.cpp
+++ b/tests/fuzz/call_intake/main.cpp
@@ -1,4 +1,4 @@
-// The header fields of a call, one a line as `name:value`; what remains after an empty line is the body.
+// Fuzzes the header fields of a call, one per line as `name:value`. The text after an empty line is the body.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -42,8 +42,8 @@
     return request;
 }
 
-/// Nobody gets a class or a time beyond its own.
-static auto isWithinItsRights(const node::IncomingCall &call) -> bool
+/// Returns whether class and deadline of the call are within those of its caller or parent.
+static auto isWithinGrantedLimits(const node::IncomingCall &call) -> bool
 {
     if (call.parent)
         return call.deadline <= ParentDeadline && call.request.caller == "parent";
@@ -60,11 +60,11 @@
     try {
         auto call = node::readCall(makeRequest({reinterpret_cast<const char *>(data), size}),
                                    configuration, running, "192.0.2.7", Now, random);
-        if (!isWithinItsRights(call))
+        if (!isWithinGrantedLimits(call))
             __builtin_trap();
         node::backendRequest(std::move(call.request), 1, std::chrono::milliseconds(1));
     } catch (const node::CallRejected &) {
-        return 0; // The one error that the entry expects.
+        return 0; // The entry handles only this error.
     }
     return 0;
 }
--- a/tests/node/CallPathHarness.h
+++ b/tests/node/CallPathHarness.h
@@ -22,7 +22,7 @@
 
 namespace stairspur::node {
 
-/// Ids that a test can foretell, far from anything that a seeded generator gives.
+/// Generates predictable ids that differ from those of the seeded generators.
 class CountedCallIds : public CallIdSource
 {
 public:
@@ -32,8 +32,9 @@
     CallId m_last = 0xca11'0000;
 };
 
-/// The whole path of a call in one process and on one thread: entry, peer links, gates and backend servers that a test
-/// scripts. Everything but the controllers is the real thing, over loopback sockets on free ports.
+/// The complete path of a call in one process and on one thread: entry, peer links, gates, and backend servers with handlers
+/// of the test. All but the control plane, whose boards the tests publish, is the product's code over loopback sockets on
+/// free ports.
 class CallPathHarness
 {
 public:
@@ -48,8 +49,8 @@
             , peerServer(io, "127.0.0.1", 0, {})
             , quarantine(io, board, startPeerServer(), peerServer.port(),
                          [this](const auto &to, const auto &payload) {
-                             if (tellGate)
-                                 tellGate(to, payload);
+                             if (sendQuarantineMessage)
+                                 sendQuarantineMessage(to, payload);
                          })
             , gate(io, board, running, metrics, callIds, quarantine, 7, protocol)
         {
@@ -62,7 +63,7 @@
             quarantine.start();
         }
 
-        /// Binds its port, by which the node is known from then on.
+        /// Binds the port of the peer server, which determines the node id.
         auto startPeerServer() -> NodeId
         {
             peerServer.start();
@@ -82,7 +83,7 @@
         transport::PeerServer peerServer;
         QuarantineKeeper quarantine;
         Gate gate;
-        std::function<void(const NodeId &to, const std::string &payload)> tellGate;
+        std::function<void(const NodeId &to, const std::string &payload)> sendQuarantineMessage;
     };
 
     explicit CallPathHarness(const CallProtocol *ownProtocol = nullptr)
@@ -129,10 +130,11 @@
         return *hosts.back();
     }
 
-    /// Carries what the gate of `host` tells others, as datagrams would.
+    /// Delivers the quarantine messages of `host` to the other hosts, as datagrams would.
     auto connectGate(Host &host) -> void
     {
-        host.tellGate = [this, from = host.node()](const NodeId &to, const std::string &payload) {
+        host.sendQuarantineMessage = [this, from = host.node()](const NodeId &to,
+                                                                const std::string &payload) {
             transport::asio::post(io, [this, from, to, payload] {
                 for (const auto &it : hosts) {
                     if (it->node() == to)
@@ -151,7 +153,7 @@
         return request;
     }
 
-    /// Starts a call; its response stands in `responses` at the returned index once it is there.
+    /// Starts a call. Its response is stored in `responses` at the returned index.
     auto start(transport::HttpRequest request, transport::CancellationPtr cancellation = {})
             -> std::size_t
     {
@@ -172,7 +174,7 @@
         return index;
     }
 
-    /// Starts the execution of a call whose key is bound; its answer is translated as for a caller.
+    /// Starts the execution of a call whose key is bound. Its answer is stored as a response to a caller.
     auto startBound(const std::string &service, const std::string &body) -> std::size_t
     {
         auto call =
@@ -198,7 +200,7 @@
         return index;
     }
 
-    /// Runs until `isDone`, or fails the test when nothing more can happen.
+    /// Runs until `isDone` and returns true, or returns false after 20 s without an event.
     auto runUntil(const std::function<bool()> &isDone) -> bool
     {
         while (!isDone()) {
@@ -213,21 +215,21 @@
         return runUntil([this] { return waiting == 0; });
     }
 
-    const CallProtocol *protocol; ///< Null: the product's own.
+    const CallProtocol *protocol; ///< Null for the product's own protocol.
     transport::asio::io_context io{1};
     NodeSettings settings;
     NodeBoard board;
     NodeMetrics metrics;
     RunningCalls running;
     transport::PeerClient peers;
-    GrantorService grantor; ///< The path's host grants its own tokens.
+    GrantorService grantor; ///< Grants the tokens of the entry's own node.
     Entry entry;
     std::vector<std::unique_ptr<Host>> hosts;
     std::vector<transport::HttpResponse> responses;
     std::size_t waiting = 0;
 };
 
-/// An answer of a backend server.
+/// Returns a response of a backend server.
 inline auto backendAnswer(std::uint32_t status, std::string body) -> transport::HttpResponse
 {
     auto response = transport::HttpResponse{.status = status};
--- a/tests/node/TestCallPath.cpp
+++ b/tests/node/TestCallPath.cpp
@@ -14,7 +14,7 @@
     return std::string(response.headers.find("Stairspur-Outcome"));
 }
 
-Test(CallPath, callerGetsTheWholeAnswer)
+Test(CallPath, callerReceivesCompleteResponse)
 {
     auto path = CallPathHarness();
     path.addHost("menu", [](auto request, auto) -> transport::Task<transport::HttpResponse> {
@@ -28,12 +28,12 @@
     cr_assert(path.responses[index].body.ends_with("msoup"));
 }
 
-/// Holds every answer until the test lets it go, so that answers can be crossed.
-struct HeldAnswers
+/// Delays every answer until the test releases it, so that answers can arrive in another order than their calls.
+struct DelayedAnswers
 {
-    struct Held
+    struct DelayedAnswer
     {
-        explicit Held(asio::io_context &io)
+        explicit DelayedAnswer(asio::io_context &io)
             : timer(io, transport::Timer::time_point::max())
         {}
         transport::Timer timer;
@@ -45,39 +45,39 @@
     {
         return [this, &io](auto request,
                            auto cancellation) -> transport::Task<transport::HttpResponse> {
-            auto held = std::make_shared<Held>(io);
-            held->body = request.body;
-            calls.push_back(held);
-            cancellation->onCancel([held] {
-                held->wasCancelled = true;
-                held->timer.cancel();
+            auto delayed = std::make_shared<DelayedAnswer>(io);
+            delayed->body = request.body;
+            calls.push_back(delayed);
+            cancellation->onCancel([delayed] {
+                delayed->wasCancelled = true;
+                delayed->timer.cancel();
             });
             auto ec = boost::system::error_code();
-            co_await held->timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
+            co_await delayed->timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
             cancellation->onCancel(nullptr);
-            co_return backendAnswer(200, "answer to " + held->body);
+            co_return backendAnswer(200, "answer to " + delayed->body);
         };
     }
 
-    std::vector<std::shared_ptr<Held>> calls;
+    std::vector<std::shared_ptr<DelayedAnswer>> calls;
 };
 
-Test(CallPath, crossedAnswersReachTheirOwnCallers)
+Test(CallPath, reorderedAnswersReachTheirOwnCallers)
 {
     auto path = CallPathHarness();
-    auto held = HeldAnswers();
-    path.addHost("menu", held.handler(path.io));
+    auto delayed = DelayedAnswers();
+    path.addHost("menu", delayed.handler(path.io));
     for (const auto *it : {"a", "b", "c", "d"})
         path.start(path.request("menu", it));
-    cr_assert(path.runUntil([&] { return held.calls.size() == 4; }));
+    cr_assert(path.runUntil([&] { return delayed.calls.size() == 4; }));
     for (const auto index : {2, 0, 3, 1})
-        held.calls[index]->timer.cancel();
+        delayed.calls[index]->timer.cancel();
     cr_assert(path.finish());
     for (std::size_t index = 0; index < 4; ++index)
         cr_expect_eq(path.responses[index].body, std::string("answer to ") + "abcd"[index]);
 }
 
-Test(CallPath, whatEndsWithoutAnAnswerIsSaidTruthfully)
+Test(CallPath, callsWithoutAnswerHaveTheirOutcome)
 {
     struct
     {
@@ -88,10 +88,11 @@
         const char *expected;
         std::size_t runs;
     } cases[] = {
-            {"idempotent call is tried again", "menu", 500, "", "failed", 2},
-            {"call that runs at most once is not", "orders", 500, "", "failed", 1},
-            {"shed calls go elsewhere", "menu", 503, "not-run", "not-run", 2},
-            {"shed calls that run at most once too", "orders", 503, "not-run", "not-run", 2},
+            {"idempotent call is retried", "menu", 500, "", "failed", 2},
+            {"call that runs at most once is not retried", "orders", 500, "", "failed", 1},
+            {"shed call is retried at another host", "menu", 503, "not-run", "not-run", 2},
+            {"shed call that runs at most once is retried too", "orders", 503, "not-run", "not-run",
+             2},
     };
     for (const auto &it : cases) {
         auto path = CallPathHarness();
@@ -135,32 +136,32 @@
     cr_expect_eq(path.responses[1].headers.find("Stairspur-Reason"), "no-configuration");
 }
 
-Test(CallPath, callerThatIsGoneFreesTheBackendServer)
+Test(CallPath, cancelledCallFreesItsSlot)
 {
     auto path = CallPathHarness();
-    auto held = HeldAnswers();
-    auto &host = path.addHost("menu", held.handler(path.io));
+    auto delayed = DelayedAnswers();
+    auto &host = path.addHost("menu", delayed.handler(path.io));
     auto cancellation = std::make_shared<transport::Cancellation>();
     path.start(path.request("menu", "x"), cancellation);
-    cr_assert(path.runUntil([&] { return held.calls.size() == 1; }));
+    cr_assert(path.runUntil([&] { return delayed.calls.size() == 1; }));
     cr_assert_eq(host.gate.report().inFlight, 1);
     cancellation->cancel();
     cr_assert(path.finish());
     cr_assert(path.runUntil(
-            [&] { return held.calls[0]->wasCancelled && host.gate.report().inFlight == 0; }));
+            [&] { return delayed.calls[0]->wasCancelled && host.gate.report().inFlight == 0; }));
 }
 
-Test(CallPath, drainingGateEndsRunningWorkAndSendsNewWorkElsewhere)
+Test(CallPath, drainingGateFinishesRunningCallsAndRefusesNewOnes)
 {
     auto path = CallPathHarness();
-    auto held = HeldAnswers();
-    auto &leaving = path.addHost("menu", held.handler(path.io));
+    auto delayed = DelayedAnswers();
+    auto &leaving = path.addHost("menu", delayed.handler(path.io));
     path.start(path.request("menu", "early"));
-    cr_assert(path.runUntil([&] { return held.calls.size() == 1; }));
+    cr_assert(path.runUntil([&] { return delayed.calls.size() == 1; }));
     auto hasDrained = false;
     leaving.gate.drain([&] { hasDrained = true; });
 
-    // The entry has not heard of it yet: the gate itself refuses, and the call goes to the other host.
+    // The entry has not received the new state yet, so the gate refuses the call and the entry sends it to the other host.
     path.addHost("menu", [](auto, auto) -> transport::Task<transport::HttpResponse> {
         co_return backendAnswer(200, "other");
     });
@@ -168,7 +169,7 @@
     cr_assert(path.runUntil([&] { return path.waiting == 1; }));
     cr_assert_eq(path.responses[late].body, "other");
     cr_assert(!hasDrained);
-    held.calls[0]->timer.cancel();
+    delayed.calls[0]->timer.cancel();
     cr_assert(path.finish());
     cr_assert_eq(path.responses[0].body, "answer to early");
     cr_assert(path.runUntil([&] { return hasDrained; }));
@@ -176,8 +177,8 @@
 
 namespace {
 
-/// A configuration in which `orders` calls `menu`, in force on a host of `orders`.
-auto callsMenuBelowOrders(CallPathHarness &path) -> void
+/// Publishes a configuration in which `orders` calls `menu`, on a host of `orders`.
+auto publishOrdersCallsMenu(CallPathHarness &path) -> void
 {
     auto changed = config::VersionedConfiguration();
     changed.version = 2;
@@ -189,7 +190,7 @@
     path.board.backend.publish({"orders", 1, 8, membership::ServingState::Serving});
 }
 
-/// A gate that admits every call of the first class and reports a floor above all others.
+/// Returns a handler that admits every call of the first class and reports a floor above all other classes.
 auto gateWithFloor() -> transport::PeerServer::CallHandler
 {
     auto sequence = std::make_shared<std::uint64_t>(0);
@@ -204,27 +205,27 @@
 
 } // namespace
 
-Test(CallPath, floorsThatStayAreToldAgainBeforeTheyLapse)
+Test(CallPath, unchangedFloorsArePublishedAgainBeforeTheyExpire)
 {
-    static constexpr auto Confirmations = std::uint64_t{2};
-    static constexpr auto MostCalls = 400'000;
+    static constexpr auto ExpectedPublications = std::uint64_t{2};
+    static constexpr auto MaxCalls = 400'000;
     auto path = CallPathHarness();
-    callsMenuBelowOrders(path);
+    publishOrdersCallsMenu(path);
     auto &host = path.addHost("menu", {});
     host.peerServer.setCallHandler(gateWithFloor());
     const auto before = path.board.deeperFloors.generation();
-    const auto told = [&] { return path.board.deeperFloors.generation() - before; };
-    for (auto n = 0; n < MostCalls && told() < Confirmations; ++n) {
+    const auto published = [&] { return path.board.deeperFloors.generation() - before; };
+    for (auto n = 0; n < MaxCalls && published() < ExpectedPublications; ++n) {
         path.start(path.request("menu", "x"));
         cr_assert(path.finish());
     }
-    cr_assert_geq(told(), Confirmations);
+    cr_assert_geq(published(), ExpectedPublications);
     const auto floors = *path.board.deeperFloors.read();
     cr_assert_eq(floors.byRank.size(), 2);
     cr_assert_eq(floors.byRank[1].value, makeLevel(0, 0).value);
 }
 
-Test(CallPath, retryLimitsFollowTheConfigurationInForce)
+Test(CallPath, retryLimitsFollowTheCurrentConfiguration)
 {
     auto path = CallPathHarness();
     auto runs = 0;
@@ -236,7 +237,7 @@
     }
     path.start(path.request("menu", "x"));
     cr_assert(path.finish());
-    cr_assert_eq(runs, 2, "a failed call is tried at the other host");
+    cr_assert_eq(runs, 2, "a failed call is retried at the other host");
     const auto before = *path.board.configuration.read();
     auto next = config::VersionedConfiguration(*before->configuration());
     next.version += 1;
@@ -247,5 +248,5 @@
     path.entry.didChangeConfiguration();
     path.start(path.request("menu", "y"));
     cr_assert(path.finish());
-    cr_assert_eq(runs, 3, "without tokens it is not");
+    cr_assert_eq(runs, 3, "a failed call is not retried without tokens");
 }
--- a/tests/node/TestOverload.cpp
+++ b/tests/node/TestOverload.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A shorter course than the measurement's, of the same shape.
+/// Returns a scenario with the phases of the measurement, but shorter.
 auto shortScenario(const Deployment &deployment, double overload) -> Scenario
 {
     auto scenario = Scenario();
@@ -69,9 +69,9 @@
     cr_assert_neq(first.wastedShare(), runScenario(scenario, Policy::Full).wastedShare());
 }
 
-Test(Overload, driverTellsAWorsePolicyApart)
+Test(Overload, worsePoliciesMissTheTargets)
 {
-    // Were the targets met by every policy, the driver would show nothing.
+    // If every policy met the targets, they would not show the effect of the full policy.
     const auto scenario = shortScenario(association(), 2);
     const auto fifo = runScenario(scenario, Policy::Fifo);
     const auto fixed = runScenario(scenario, Policy::FixedLimits);
