--- a/source/node/BackendAnswer.cpp
+++ b/source/node/BackendAnswer.cpp
@@ -11,19 +11,19 @@
 
 static constexpr auto FirstServerError = std::uint32_t{500};
 
-auto judgeResponse(const transport::HttpResponse &response) -> BackendVerdict
+auto interpretResponse(const transport::HttpResponse &response) -> BackendResult
 {
-    const auto told = fromName<Outcome>(response.headers.find(header::Outcome));
-    if (told == Outcome::NotRun)
+    const auto reportedOutcome = fromName<Outcome>(response.headers.find(header::Outcome));
+    if (reportedOutcome == Outcome::NotRun)
         return {Outcome::NotRun, Reason::BackendShed, Completion::Shed};
-    if (told == Outcome::Unknown)
+    if (reportedOutcome == Outcome::Unknown)
         return {Outcome::Unknown, Reason::BackendFailed, Completion::Failed};
     if (response.status >= FirstServerError)
         return {Outcome::Failed, Reason::BackendFailed, Completion::Failed};
     return {Outcome::Answered, Reason::None, Completion::Succeeded};
 }
 
-auto verdictFor(ResponseKind kind) -> BackendVerdict
+auto resultFor(ResponseKind kind) -> BackendResult
 {
     switch (kind) {
     case ResponseKind::Answered:
@@ -32,7 +32,7 @@
         return {Outcome::Failed, Reason::BackendFailed, Completion::Failed};
     case ResponseKind::Shed:
         return {Outcome::NotRun, Reason::BackendShed, Completion::Shed};
-    case ResponseKind::Spoilt:
+    case ResponseKind::Damaged:
         return {Outcome::Unknown, Reason::DamagedAnswer, Completion::Failed};
     case ResponseKind::WrongInstance:
         break;
@@ -40,7 +40,7 @@
     return {Outcome::NotRun, Reason::WrongPlacement, Completion::Cancelled};
 }
 
-auto judgeFailure(HttpFailure failure) -> BackendVerdict
+auto interpretFailure(HttpFailure failure) -> BackendResult
 {
     switch (failure) {
     case HttpFailure::NotConnected:
@@ -55,8 +55,8 @@
     return {Outcome::Unknown, Reason::BackendFailed, Completion::Failed};
 }
 
-/// A child span of the root's trace. Backend servers pass traceparent on to everybody that they call and to trace
-/// collectors, so that its parent id must not be the call's id, which is a credential: it is derived from it one way.
+/// Returns a `traceparent` header with a child span of the root's trace. Backend servers forward it to the servers that they
+/// call and to trace collectors. Its parent id is a one-way hash of the call's id, because the call's id is a credential.
 static auto traceParent(const RootId &root, CallId id) -> std::string
 {
     static constexpr auto ParentIdLength = std::size_t{16};
