--- a/include/stairspur/node/NodeAdapter.h
+++ b/include/stairspur/node/NodeAdapter.h
@@ -17,19 +17,20 @@
 
 namespace stairspur::node {
 
-/// What a control listener may ask of the node. Called on the control thread.
+/// Functions of the node that a control listener may call, on the control thread.
 struct ControlHooks
 {
-    /// Takes what the host's backend server says of itself. Throws AnnouncementError.
+    /// Processes an announcement of the host's backend server. Throws AnnouncementError.
     std::function<void(const membership::Announcement &)> announce;
-    /// A life of the backend server has ended; nothing of it counts from now on.
+    /// Records that an incarnation of the backend server has ended. Its announcements are ignored from now on.
     std::function<void(const membership::BackendLife &life)> leave;
+    /// Returns whether the node is ready to serve callers.
     std::function<bool()> isReady;
-    /// What was said of `instance` could not be taken; `error` tells why.
+    /// Records that an announcement of `instance` was refused; `error` is the reason.
     std::function<void(const std::string &instance, const std::string &error)> didRefuse;
 };
 
-/// A further address on which the control thread answers HTTP.
+/// An additional address on which the control thread serves HTTP requests.
 struct ControlListener
 {
     std::string address;
@@ -38,23 +39,23 @@
             handle;
 };
 
-/// Why settings are read again.
+/// Why the settings are read again.
 enum class ReloadCause {
     Signal, ///< SIGHUP.
-    Timer,  ///< They may have changed without a signal.
+    Timer,  ///< The reload interval has passed; the settings may have changed without a signal.
 };
 
-/// What connects a node to surroundings that don't speak the product's own protocols. Whatever is left out, the
-/// product's own holds.
+/// Connects a node to a platform with other protocols than the product's own. The product's own implementation is used
+/// for each field that is not set.
 struct NodeAdapter
 {
     std::optional<CallProtocol> calls;
     std::function<store::AnyStore(boost::asio::io_context &io, std::uint64_t seed)> makeStore;
     std::optional<distribution::WholeItemSource> configuration;
     std::vector<ControlListener> listeners;
-    /// The settings may have changed. Called on the thread of the signals; logs what it finds.
+    /// Reads the settings again and logs the result. Called on the signal thread.
     std::function<void(ReloadCause)> reload;
-    /// How often it is called without a signal; 0: upon SIGHUP only.
+    /// Time between two calls of `reload` without a signal; 0: only on SIGHUP.
     Duration reloadInterval{0};
 };
 
--- a/source/node/AdminApi.cpp
+++ b/source/node/AdminApi.cpp
@@ -46,8 +46,8 @@
 {
     if (!m_hooks.release(request.body))
         return problem(404,
-                       "no request of that name is on trial or refused at this node's service; "
-                       "see `stairspur status` at a node of the service");
+                       "no request of that name is suspected or refused at this node's service; "
+                       "run `stairspur status` at a node of the service");
     return jsonResponse(202, {{"released", true}});
 }
 
@@ -80,11 +80,10 @@
         return textResponse(200, "text/plain; version=0.0.4", m_hooks.renderMetrics());
     if (path == "/announce" || path == "/drain" || path == "/healthz" || path == "/readyz"
         || path == "/status" || path == "/metrics" || path == "/release")
-        return problem(405, "the method does not fit this path; see docs/INTERFACES.md");
-    return problem(
-            404,
-            "there is no such path; use /healthz, /readyz, /status, /metrics, /drain, /release or "
-            "/announce");
+        return problem(405, "this path does not support the method; see docs/INTERFACES.md");
+    return problem(404,
+                   "unknown path; use /healthz, /readyz, /status, /metrics, /drain, /release or "
+                   "/announce");
 }
 
 } // namespace stairspur::node
--- a/source/node/AdminApi.h
+++ b/source/node/AdminApi.h
@@ -9,20 +9,22 @@
 
 namespace stairspur::node {
 
-/// What the admin port asks of the rest of the node. Every function runs on the control thread.
+/// Functions of the node that the admin port calls. Each of them runs on the control thread.
 struct AdminHooks
 {
-    /// The backend server announces itself. Throws Error, with the remedy, on a body that is no announcement.
+    /// Processes an announcement of the backend server. Throws Error, with a remedy, if the body is not a valid announcement.
     std::function<void(const std::string &body)> didAnnounce;
-    std::function<void()> startDrain;
-    /// An operator lets a request run again; whether one of that name is on trial or refused here.
+    std::function<void()> startDrain; ///< Starts the graceful shutdown of the node.
+    /// Releases a quarantined request for an operator, so that it may run again. Returns whether a request of that name is
+    /// suspected or refused here.
     std::function<bool(const std::string &name)> release;
     std::function<bool()> isReady;
     std::function<std::string()> renderStatus;  ///< JSON.
     std::function<std::string()> renderMetrics; ///< Prometheus text.
 };
 
-/// The operators' port: health, readiness, status, metrics, drain, and the backend server's announcements.
+/// Serves the admin port: health, readiness, status, metrics, drain, release of quarantined requests, and the backend
+/// server's announcements.
 class AdminApi
 {
 public:
@@ -30,7 +32,7 @@
         : m_hooks(std::move(hooks))
     {}
 
-    /// Answers one request; never throws.
+    /// Serves one request. Invalid requests get an error response; never throws.
     auto handle(const transport::HttpRequest &request) -> transport::HttpResponse;
 
 private:
--- a/source/node/AnnouncementRefusals.cpp
+++ b/source/node/AnnouncementRefusals.cpp
@@ -4,7 +4,7 @@
 
 namespace stairspur::node {
 
-/// Time between two lines: a person reads no faster.
+/// Shortest time between two log lines. A reader cannot follow more.
 static constexpr auto LineInterval = Duration{1'000'000};
 
 auto AnnouncementRefusals::didRefuse(const std::string &instance, const std::string &error,
--- a/source/node/AnnouncementRefusals.h
+++ b/source/node/AnnouncementRefusals.h
@@ -8,17 +8,19 @@
 
 namespace stairspur::node {
 
-/// Counts announcements that were refused, and tells of them in the log: one line a second at the most, since another writer
-/// may repeat itself without end, and each line tells how many have come by then.
+/// Counts refused announcements and logs them. At most one line a second is logged, since a client may repeat invalid
+/// announcements without end; each line contains the total count.
 class AnnouncementRefusals
 {
 public:
-    /// `instance` as it was written, empty where none was named; `error` tells the field and the remedy.
+    /// Records a refused announcement. `instance`: as received, empty if the announcement has none; `error`: the faulty field
+    /// and the remedy.
     auto didRefuse(const std::string &instance, const std::string &error, TimePoint now) -> void;
 
+    /// Returns the number of refused announcements.
     [[nodiscard]] auto count() const -> std::uint64_t { return m_count; }
 
-    /// Lines written to the log.
+    /// Returns the number of logged lines.
     [[nodiscard]] auto lines() const -> std::uint64_t { return m_lines; }
 
 private:
--- a/source/node/ControlMetrics.cpp
+++ b/source/node/ControlMetrics.cpp
@@ -10,7 +10,7 @@
 
 using metrics::Registry;
 
-/// One of several counters that a label tells apart.
+/// The value of a counter for one value of its label.
 struct Labelled
 {
     const char *label;
@@ -40,8 +40,8 @@
 {
     using membership::Liveness;
     using membership::ServingState;
-    const auto text = metrics::MetricText{"stairspur_members",
-                                          "Nodes known now, by liveness and serving state."};
+    const auto text = metrics::MetricText{
+            "stairspur_members", "Nodes in the membership table, by liveness and serving state."};
     for (const auto liveness : enumNames<Liveness>) {
         for (const auto state : enumNames<ServingState>)
             registry.gauge(text,
@@ -57,35 +57,35 @@
         -> void
 {
     addCounters(registry,
-                {"stairspur_membership_probes_total", "Probes of other nodes, by kind and end."},
+                {"stairspur_membership_probes_total", "Probes of other nodes, by kind and result."},
                 "kind",
                 {{"direct", counters.probes},
                  {"indirect", counters.indirectProbes},
                  {"failed", counters.failedProbes}});
-    addCounters(
-            registry,
-            {"stairspur_membership_judgements_total",
-             "What this node itself stated: suspicions and deaths of others, and refutations of "
-             "suspicions about it."},
-            "judgement",
-            {{"suspicion", counters.suspicions},
-             {"death", counters.deaths},
-             {"refutation", counters.refutations}});
+    addCounters(registry,
+                {"stairspur_membership_judgements_total",
+                 "Judgements published by this node: suspicions and deaths of others, and "
+                 "refutations of "
+                 "suspicions about it."},
+                "judgement",
+                {{"suspicion", counters.suspicions},
+                 {"death", counters.deaths},
+                 {"refutation", counters.refutations}});
     addCounters(registry,
                 {"stairspur_membership_exchanges_total",
-                 "Comparisons of whole views with another node."},
+                 "Comparisons of complete views with another node."},
                 "kind",
                 {{"all", counters.exchanges},
                  {"unequal", counters.unequalExchanges},
                  {"relay", counters.relayExchanges}});
     addCounters(registry,
                 {"stairspur_membership_rejected_total",
-                 "Membership datagrams and records passed over."},
+                 "Membership datagrams and records that were rejected."},
                 "what",
                 {{"datagram", counters.rejectedDatagrams}, {"record", counters.rejectedRecords}});
     addCounter(registry,
                {"stairspur_membership_pauses_total",
-                "Times that this process itself had stood still, so that it judged nobody."},
+                "Pauses of this process, during which it published no judgements."},
                counters.pauses);
     addCounters(registry, {"stairspur_membership_bytes_total", "Payload of membership datagrams."},
                 "direction", {{"sent", counters.bytesSent}, {"received", counters.bytesReceived}});
@@ -98,14 +98,16 @@
              state.version);
     addGauge(registry,
              {"stairspur_configuration_proof_age_milliseconds",
-              "Since the version in force was the newest for certain; 0: never proved."},
+              "Time since the version in force was proven to be the newest; 0: never proven."},
              state.proofAge ? static_cast<std::uint64_t>(toMilliseconds(*state.proofAge)) : 0);
     addGauge(registry, {"stairspur_ready", "1 while /readyz answers 200."}, state.isReady ? 1 : 0);
-    addGauge(registry,
-             {"stairspur_distribution_relay", "1 while this node asks the store for its domain."},
-             state.isRelay ? 1 : 0);
+    addGauge(
+            registry,
+            {"stairspur_distribution_relay", "1 while this node queries the store for its domain."},
+            state.isRelay ? 1 : 0);
     addCounters(registry,
-                {"stairspur_distribution_events_total", "What happened to configurations here."},
+                {"stairspur_distribution_events_total",
+                 "Events of the distribution of configurations at this node."},
                 "event",
                 {{"adoption", counters.adoptions},
                  {"whole-load", counters.wholeLoads},
@@ -125,13 +127,14 @@
                  {"received", counters.datagramBytesReceived + counters.requestBytesReceived}});
 }
 
-/// A node has two clients of the store, one on each thread that needs it; both add to the same counters.
+/// Adds the counters of one store client. A node has two clients, one on each thread that uses the store; both are added to
+/// the same metrics.
 static auto addStore(Registry &registry, const store::StoreCounters &counters) -> void
 {
     using store::StoreCall;
     using store::StoreStatus;
     const auto text = metrics::MetricText{"stairspur_store_calls_total",
-                                          "Attempts at calls to the store, by kind and end."};
+                                          "Attempts at calls to the store, by kind and result."};
     for (std::size_t call = 0; call < counters.calls.size(); ++call) {
         for (std::size_t status = 0; status < counters.calls[call].size(); ++status)
             registry.counter(text, {{"call", std::string(enumNames<StoreCall>[call])},
@@ -141,11 +144,12 @@
     addCounter(registry, {"stairspur_store_delayed_total", "Calls that waited for the rate limit."},
                counters.delayed);
     addCounter(registry,
-               {"stairspur_store_watch_messages_total", "Messages of watches, with events."},
+               {"stairspur_store_watch_messages_total", "Watch messages that contain events."},
                counters.watchMessages);
 }
 
-/// Both kinds of control bytes on the wire count against the budget; calls do not.
+/// Adds the traffic of datagrams and peer links. The bytes of datagrams and of control requests count against the budget for
+/// control traffic; the bytes of calls do not.
 static auto addTraffic(Registry &registry, const ControlState &state) -> void
 {
     const auto links = std::array{&state.controlTraffic, &state.entry.traffic, &state.gate.traffic,
@@ -169,26 +173,26 @@
     addCounters(registry,
                 {"stairspur_call_bytes_total", "Bytes of calls and answers on peer links."},
                 "direction", {{"sent", sum.callBytesSent}, {"received", sum.callBytesReceived}});
-    addCounters(registry, {"stairspur_datagrams_total", "Datagrams, by what became of them."},
-                "what",
+    addCounters(registry, {"stairspur_datagrams_total", "Datagrams, by result."}, "what",
                 {{"sent", state.datagrams.sent},
                  {"received", state.datagrams.received},
                  {"rejected", state.datagrams.rejected}});
     addCounter(registry,
-               {"stairspur_dropped_answers_total", "Answers that nobody waited for any more."},
+               {"stairspur_dropped_answers_total", "Answers for which no call was waiting."},
                sum.droppedAnswers);
-    addCounter(registry, {"stairspur_damaged_frames_total", "Frames whose hash was wrong."},
+    addCounter(registry, {"stairspur_damaged_frames_total", "Frames with a wrong hash."},
                sum.damagedFrames);
 }
 
 static auto addPresent(Registry &registry, const ControlState &state) -> void
 {
     const auto &load = state.gate.load;
-    addGauge(registry, {"stairspur_gate_limit", "Calls that the gate lets run at once."},
+    addGauge(registry, {"stairspur_gate_limit", "Calls that the gate allows to run concurrently."},
              load.limit);
-    addGauge(registry, {"stairspur_gate_in_flight", "Calls that run at the backend server."},
+    addGauge(registry,
+             {"stairspur_gate_in_flight", "Calls that are running at the backend server."},
              load.inFlight);
-    addGauge(registry, {"stairspur_gate_queued", "Calls that wait for a place."}, load.queued);
+    addGauge(registry, {"stairspur_gate_queued", "Calls that wait for a slot."}, load.queued);
     for (std::size_t rank = 0; rank < load.floors.size(); ++rank)
         registry.gauge({"stairspur_gate_floor",
                         "Lowest level admitted, by class rank (0: the most important)."},
@@ -203,7 +207,8 @@
              state.process.residentBytes);
 }
 
-/// The registry counts whole numbers; this one is in seconds, as is usual for it.
+/// Returns the processor time as a metric. It is rendered here because the registry supports only integers, and this metric
+/// is in seconds by convention.
 static auto renderCpu(const ProcessUsage &usage) -> std::string
 {
     static constexpr auto BufferSize = 64;
@@ -223,7 +228,7 @@
     addMembership(registry, state.membership);
     addCounter(registry,
                {"stairspur_announcements_refused_total",
-                "Announcements of the host's backend server that were malformed or out of place."},
+                "Announcements of the host's backend server that were malformed or not allowed."},
                state.refusedAnnouncements);
     addDistribution(registry, state);
     if (state.store) {
--- a/source/node/ControlMetrics.h
+++ b/source/node/ControlMetrics.h
@@ -16,11 +16,11 @@
 
 namespace stairspur::node {
 
-/// What the control thread knows when the operators' port is asked for metrics.
+/// The state from which the control metrics are rendered, collected on the control thread.
 struct ControlState
 {
-    std::uint64_t version = 0; ///< Of the configuration in force; 0: none.
-    /// Since the configuration in force was the newest for certain; empty: never proved.
+    std::uint64_t version = 0; ///< Version of the configuration in force; 0: none.
+    /// Time since the configuration in force was proven to be the newest; empty: never proven.
     std::optional<Duration> proofAge;
     bool isReady = false;
     bool isRelay = false;
@@ -29,16 +29,16 @@
     distribution::DistributionCounters distribution;
     std::optional<store::StoreCounters> store; ///< Empty: this node has no store.
     transport::DatagramTraffic datagrams;
-    transport::PeerTraffic controlTraffic; ///< Of the control thread's own peer links.
+    transport::PeerTraffic controlTraffic; ///< Traffic of the control thread's peer links.
     std::uint32_t controlLinks = 0;
     EntryState entry;
     GateState gate;
     ProcessUsage process;
-    std::uint64_t refusedAnnouncements = 0; ///< Of the host's backend server.
+    std::uint64_t refusedAnnouncements = 0; ///< Refused announcements of the host's backend server.
 };
 
-/// The control metrics in the Prometheus text format. Made anew for each scrape from counters that exist anyway, so that
-/// nothing is counted twice.
+/// Returns the control metrics in the Prometheus text format. They are rendered for each scrape from the counters of the
+/// modules, so that no event is counted in two places.
 auto renderControlMetrics(const ControlState &state) -> std::string;
 
 } // namespace stairspur::node
--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -16,13 +16,13 @@
 namespace asio = transport::asio;
 using membership::ServingState;
 
-/// How often silence of the backend server is looked for.
+/// Time between two checks of the announcement timeout and of the configuration proof.
 static constexpr auto TickInterval = std::chrono::milliseconds(250);
-/// Three seconds at the platform's period of half a second: hosts that start at once then know each other after about one
-/// second, where it took up to two.
+/// Number of quick protocol periods after the start. At the platform's period of half a second they last three seconds, and
+/// hosts that start at once discover each other after about one second, instead of up to two.
 static constexpr auto QuickPeriods = 30U;
-/// A node that goes repeats its word for so many protocol periods. It is passed on at once by whoever hears it, and the
-/// gate's own refusals say the same, so that one period is enough.
+/// Protocol periods for which a leaving node repeats its leave message. One is enough: receivers forward the message at
+/// once, and refusals of the gate carry the same information.
 static constexpr auto LeavePeriods = 1;
 
 auto peerSettings(const NodeSettings &settings) -> transport::PeerSettings
@@ -68,7 +68,8 @@
     return membership;
 }
 
-/// The admin port serves the host's backend server and a few people and collectors; its bodies are announcements.
+/// The admin port serves the host's backend server, a few operators and metrics collectors. The only large bodies are
+/// announcements.
 static constexpr auto MaxAdminConnections = std::uint32_t{256};
 static constexpr auto MaxAdminBodyBytes = std::uint64_t{64U << 10U};
 
@@ -155,7 +156,7 @@
     server.setRequestHandler(distribution::ConfigTopic, m_distribution->requestHandler());
 }
 
-/// A configuration came into force: the traffic threads get it, and the other nodes hear of it with the next probe.
+/// Publishes a configuration that came into force: to the traffic threads at once, to the other nodes with the next probe.
 auto ControlPlane::didPublish(config::ConfigurationPtr configuration) -> void
 {
     auto services = std::set<std::string>();
@@ -167,8 +168,8 @@
             .add("services", services.size());
     m_board.configuration.publish(
             std::make_shared<const config::ConfigurationIndex>(std::move(configuration)));
-    // Every entry may be asked for every service, and spills to other failure domains. Most changes leave the set as it
-    // is, and each one told costs a new view of all members.
+    // Each entry may receive calls for each service and sends calls to other failure domains. The set is set only if it has
+    // changed, since that creates a new view of all members.
     if (services != m_servicesOfInterest) {
         m_membership.setServicesOfInterest(services);
         m_servicesOfInterest = std::move(services);
@@ -236,8 +237,9 @@
     }
 }
 
-/// A service that no configuration names is no reason to give up the backend server that stands here. One that is known
-/// goes on announcing when its service leaves the configuration: its leaving has to be heard.
+/// Throws AnnouncementError if the configuration in force does not contain the announced service, so that the current backend
+/// server is kept. A backend server that is already registered may continue to announce itself after its service was removed
+/// from the configuration, because its leave announcement has to arrive.
 auto ControlPlane::checkService(const membership::Announcement &announcement) const -> void
 {
     const auto &current = m_announcements.current();
@@ -265,7 +267,7 @@
         publishBackend();
 }
 
-/// Tells the gate and the other nodes what the backend server says of itself.
+/// Publishes the latest announcement of the backend server to the gate and the other nodes.
 auto ControlPlane::publishBackend() -> void
 {
     const auto &current = m_announcements.current();
@@ -306,7 +308,7 @@
     });
 }
 
-/// Tells when this host ceases to serve callers by their keys, and when it begins again.
+/// Logs when this host stops serving callers by their keys because its proof has expired, and when it resumes.
 auto ControlPlane::noteProof() -> void
 {
     const auto proof = *m_board.configurationProof.read();
--- a/source/node/ControlPlane.h
+++ b/source/node/ControlPlane.h
@@ -34,32 +34,34 @@
 
 namespace stairspur::node {
 
-/// What the control plane asks of the node around it.
+/// Functions of the node that the control plane calls, on the control thread.
 struct ControlHandlers
 {
     std::function<void()> startDrain;
-    std::function<void()> didChangeBackend; ///< The blackboard tells of another state of it.
-    std::function<void()> didChangeConfiguration;
-    /// An operator lets a request run again.
+    std::function<void()> didChangeBackend; ///< The backend server on the blackboard has changed.
+    std::function<void()>
+            didChangeConfiguration; ///< The configuration on the blackboard has changed.
+    /// Releases a quarantined request for an operator, so that it may run again.
     std::function<void(const std::string &request)> release;
-    /// What the store kept of requests under which backend servers ended.
+    /// Restores a quarantine record of the store: a request under which backend servers crashed.
     std::function<void(const std::string &saved)> restoreQuarantine;
-    /// A gate of another node tells of requests under which backend servers end.
+    /// Processes a crash report of another node's gate.
     std::function<void(const NodeId &from, const std::string &payload)> didHearGate;
-    /// The local entry's ask for tokens has been answered.
+    /// Processes the response to a token request of the local entry.
     std::function<void(const quota::TokenGrant &grant)> didGrant;
-    /// A connection to the store or to a peer has fallen silent while new ones work.
+    /// A connection to the store or to a peer no longer responds, although new connections work.
     std::function<void()> didFindSilence;
 };
 
-/// What peer links of this node are set to, on each of its threads.
+/// Returns the settings of this node's peer links, which are the same on each of its threads.
 auto peerSettings(const NodeSettings &settings) -> transport::PeerSettings;
 
-/// What clients of the platform's store are set to, on each of its threads. The settings must name a store.
+/// Returns the settings of the clients of the platform's store, which are the same on each thread. `settings` must name a
+/// store.
 auto storeSettings(const NodeSettings &settings) -> store::StoreSettings;
 
-/// The controllers: announcements, membership, configuration in force, the operators' port. They read and write the
-/// blackboard. Belongs to the control thread.
+/// Runs the controllers of the announcements, the membership, the configuration in force and the admin port. They read and
+/// write the blackboard. Belongs to the control thread.
 class ControlPlane
 {
 public:
@@ -78,25 +80,26 @@
     /// Binds the control ports. Throws SettingError when one cannot be bound.
     auto start() -> void;
 
-    /// Sends what the local gate tells another one of requests under which backend servers end.
+    /// Sends a crash report of the local gate to the gate of the node `to`.
     auto sendToGate(const NodeId &to, const std::string &payload) -> void;
 
-    /// Sends the local entry's ask for tokens of a caller's quota.
+    /// Sends a token request of the local entry to the grantor of a caller's quota.
     auto askForTokens(const NodeId &grantor, const std::string &payload) -> void
     {
         m_grantor.ask(grantor, payload);
     }
 
-    /// Keeps what has to outlive all nodes, or, with an empty text, no longer.
+    /// Saves the quarantine record `name` to the store, where it survives a restart of all nodes. Removes it if `saved` is
+    /// empty.
     auto saveQuarantine(const std::string &name, const std::string &saved) -> void;
 
-    /// Looks for links that have fallen silent.
+    /// Checks whether the peer links still respond.
     auto verifyLinks() -> void { m_peers.verifyLinks(); }
 
-    /// Tells the others that this host takes no new work.
+    /// Publishes to the other nodes that this host accepts no new calls.
     auto announceDraining() -> void;
 
-    /// Tells the others that this node is gone; `didFinish` runs once the word has been repeated.
+    /// Publishes to the other nodes that this node leaves; `didFinish` runs after the message has been repeated.
     auto leave(std::function<void()> didFinish) -> void;
 
 private:
@@ -127,10 +130,10 @@
     std::optional<store::AnyStore> m_store;
     membership::MembershipService m_membership;
     std::optional<RendezvousKeeper> m_rendezvous;
-    std::optional<QuarantineArchive> m_quarantineArchive; ///< None without a store.
+    std::optional<QuarantineArchive> m_quarantineArchive; ///< Empty without a store.
     std::set<std::string> m_servicesOfInterest;
     std::optional<distribution::DistributionService> m_distribution;
-    bool m_wasProofFresh = false; ///< As last logged.
+    bool m_wasProofFresh = false; ///< The value last logged.
     VersionsHeard m_versionsHeard;
     LivenessHistory m_livenessHistory;
     GrantorService m_grantor;
@@ -138,7 +141,7 @@
     AnnouncementRefusals m_refusals;
     AdminApi m_adminApi;
     transport::HttpServer m_adminServer;
-    std::vector<std::unique_ptr<transport::HttpServer>> m_listeners; ///< Those of the adapter.
+    std::vector<std::unique_ptr<transport::HttpServer>> m_listeners; ///< Listeners of the adapter.
     transport::Timer m_timer;
     transport::Timer m_leaveTimer;
 };
--- a/source/node/DomainSummary.cpp
+++ b/source/node/DomainSummary.cpp
@@ -20,7 +20,7 @@
         ++summary.starting;
         return;
     case ServingState::Left:
-        return; // The node is there, its backend server is not.
+        return; // The node is alive, but its backend server has left.
     }
 }
 
--- a/source/node/DomainSummary.h
+++ b/source/node/DomainSummary.h
@@ -13,23 +13,25 @@
 
 namespace stairspur::node {
 
-/// The members of one failure domain, counted. Those that said goodbye count as `left` alone.
+/// Number of members of one failure domain by liveness and serving state. A dead member that had left is counted only in
+/// `left`.
 struct DomainSummary
 {
     std::uint64_t alive = 0;
     std::uint64_t suspect = 0;
     std::uint64_t dead = 0;
     std::uint64_t left = 0;
-    std::uint64_t serving = 0;  ///< Of those that are alive.
-    std::uint64_t draining = 0; ///< Of those that are alive.
-    std::uint64_t starting = 0; ///< Of those that are alive.
-    /// No node of the domain, besides the one that counts, is alive, though some should be.
+    std::uint64_t serving = 0;  ///< Alive and serving.
+    std::uint64_t draining = 0; ///< Alive and draining.
+    std::uint64_t starting = 0; ///< Alive and starting.
+    /// Whether no other node of the domain is alive and at least one is suspect or dead without having left.
     bool isCutOff = false;
-    /// Since the latest word that came straight from another node of the domain; nothing when none came lately.
+    /// Time since the latest report received directly from another node of the domain; empty if there is no recent one.
     std::optional<Duration> heardAge;
 };
 
-/// All failure domains of `view`, as the node `self` sees them.
+/// Returns the summaries of all failure domains in `view`, by name, from the viewpoint of the node `self`. `heard`: the
+/// versions that other nodes have reported recently.
 auto summarizeDomains(const membership::MembershipView &view, const HeardVersions &heard,
                       const NodeId &self) -> std::map<std::string, DomainSummary>;
 
--- a/source/node/FloorTeller.cpp
+++ b/source/node/FloorTeller.cpp
@@ -5,9 +5,9 @@
 
 namespace stairspur::node {
 
-/// How often the gate is told what the deeper services refuse: while calls flow, and while anything is refused.
+/// Shortest time between two publications to the gate, while calls end or any floor is raised.
 static constexpr auto FloorInterval = Duration{20'000};
-/// How often unchanged floors are told again: those that nobody confirms lapse after a second.
+/// Time after which unchanged floors are published again. Floors that are not confirmed expire after a second.
 static constexpr auto FloorConfirmInterval = Duration{250'000};
 
 FloorTeller::FloorTeller(boost::asio::io_context &io, NodeBoard &board,
@@ -27,7 +27,7 @@
     ensureTimer();
 }
 
-/// Floors that are up may have to fall while no call comes.
+/// Starts the timer while any floor is raised, so that floors can fall even when no call ends.
 auto FloorTeller::ensureTimer() -> void
 {
     const auto isUp = [](Level it) { return it > LowestLevel; };
@@ -57,7 +57,7 @@
     m_board.deeperFloors.publish(std::move(floors));
 }
 
-/// By the call paths that the configuration names.
+/// Returns the floor of each class, from the call paths in the configuration.
 auto FloorTeller::floorsByRank(const config::ConfigurationIndex &configuration,
                                const std::string &service, TimePoint now) const
         -> std::vector<Level>
@@ -72,7 +72,7 @@
     return floors;
 }
 
-/// By the calls that were seen. Paths without a floor are left out.
+/// Returns the floors of the paths of the observed calls. Paths without a floor are omitted.
 auto FloorTeller::floorsByPath(TimePoint now) const -> std::vector<PathFloor>
 {
     auto floors = std::vector<PathFloor>();
--- a/source/node/FloorTeller.h
+++ b/source/node/FloorTeller.h
@@ -13,19 +13,19 @@
 
 namespace stairspur::node {
 
-/// Tells the gate which floors the calls of this host's backend server meet at deeper services, so that it can advertise
-/// them. Belongs to the entry's thread.
+/// Publishes to the gate the floors that calls of this host's backend server encounter at deeper services, so that the gate
+/// can advertise them. Belongs to the entry's thread.
 class FloorTeller
 {
 public:
-    /// The floor that a call of class `rank` meets at a deeper service, as the entry's pools know it.
+    /// Returns the floor of a deeper service for calls of class `rank`, as recorded in the entry's upstream pools.
     using FloorAt = std::function<Level(const DeeperCall &call, ClassRank rank, TimePoint now)>;
 
     FloorTeller(boost::asio::io_context &io, NodeBoard &board, const ObservedCalls &observedCalls,
                 FloorAt floorAt);
 
-    /// Tells the floors if it is time to. Calls bring what floors are made of, so that their ends are the time to look: a
-    /// timer would wake an idle node fifty times a second for nothing.
+    /// Publishes the floors if the interval has passed. Called when a call ends, since only the outcomes of calls change the
+    /// floors. A timer would wake an idle node fifty times a second to no effect.
     auto refresh(TimePoint now) -> void;
 
 private:
--- a/source/node/GrantorService.cpp
+++ b/source/node/GrantorService.cpp
@@ -39,7 +39,7 @@
 {
     const auto grant = answerTo(ask);
     if (ask.wanted == 0)
-        return; // It only gave tokens back.
+        return; // The request only returned tokens.
     if (from == m_ownNode)
         m_didGrant(grant);
     else
--- a/source/node/GrantorService.h
+++ b/source/node/GrantorService.h
@@ -13,19 +13,19 @@
 /// Topic of the datagrams between hosts and the grantors of callers' quotas.
 inline constexpr auto QuotaTopic = "quota";
 
-/// Answers other hosts' asks for tokens, and takes the grants for this one. Belongs to the control thread.
+/// Grants the token requests of all hosts and receives the grants for this host. Belongs to the control thread.
 class GrantorService
 {
 public:
     using Send = std::function<void(const NodeId &to, const std::string &payload)>;
     using DidGrant = std::function<void(const quota::TokenGrant &grant)>;
 
-    /// `didGrant`: this host's entry got an answer.
+    /// `didGrant` is called with each grant for this host's entry.
     GrantorService(const NodeBoard &board, NodeId ownNode, Send send, DidGrant didGrant);
 
-    /// Sends an ask of this host's entry, or answers it where this node is the grantor.
+    /// Sends a token request of this host's entry to the grantor, or processes it here if this node is the grantor.
     auto ask(const NodeId &grantor, const std::string &payload) -> void;
-    /// A datagram of another node.
+    /// Processes a datagram of another node.
     auto receive(const NodeId &from, const std::string &payload) -> void;
 
 private:
--- a/source/node/IoThread.cpp
+++ b/source/node/IoThread.cpp
@@ -29,7 +29,8 @@
         m_thread.join();
 }
 
-/// An exception that reaches here is a fault of ours in one handler: it is logged, and the other calls go on.
+/// Runs the io_context. An exception that reaches this function is a bug in one handler; it is logged, and the other
+/// handlers continue.
 auto IoThread::run() -> void
 {
     pthread_setname_np(pthread_self(), m_name.c_str());
--- a/source/node/IoThread.h
+++ b/source/node/IoThread.h
@@ -9,7 +9,7 @@
 
 namespace stairspur::node {
 
-/// One thread that runs one io_context, so that what belongs to it needs no locks.
+/// One thread that runs one io_context. Objects that are used on this thread only need no locks.
 class IoThread
 {
 public:
@@ -20,6 +20,7 @@
     auto operator=(const IoThread &) -> IoThread & = delete;
     auto operator=(IoThread &&) -> IoThread & = delete;
 
+    /// Starts the thread. Call once.
     auto start() -> void;
 
     /// Stops the io_context and waits for the thread.
@@ -31,8 +32,7 @@
     auto run() -> void;
 
     std::string m_name;
-    boost::asio::io_context m_io{
-            1}; // One thread runs it: the hint spares Asio its locks' contention.
+    boost::asio::io_context m_io{1}; // The concurrency hint 1 reduces lock contention in Asio.
     std::optional<boost::asio::executor_work_guard<boost::asio::io_context::executor_type>> m_work;
     std::thread m_thread;
 };
--- a/source/node/LivenessHistory.h
+++ b/source/node/LivenessHistory.h
@@ -9,14 +9,14 @@
 
 namespace stairspur::node {
 
-/// Since when each node is taken for suspect or dead, for the operators' status. Nodes that are alive take no room.
+/// Records since when each node has been suspect or dead, for the status report. Nodes that are alive have no entry.
 class LivenessHistory
 {
 public:
-    /// Membership shows `view` from `now` on.
+    /// Records the view of the members that is current from `now` on.
     auto didSee(const membership::MembershipView &view, TimePoint now) -> void;
 
-    /// When this node learnt of the present suspicion or death; nothing for nodes that are alive or not known.
+    /// Returns when this node received the current suspicion or death of `node`; empty if `node` is alive or unknown.
     [[nodiscard]] auto since(const NodeId &node) const -> std::optional<TimePoint>;
 
 private:
--- a/source/node/Node.cpp
+++ b/source/node/Node.cpp
@@ -16,7 +16,7 @@
 
 namespace asio = transport::asio;
 
-/// How often the traffic threads publish what operators see of them.
+/// Time between two updates of the traffic threads' state for the metrics.
 static constexpr auto PublishInterval = Duration{1'000'000};
 
 static auto entryServerSettings(const NodeSettings &settings) -> transport::HttpServerSettings
@@ -39,7 +39,7 @@
     return (std::uint64_t{device()} << 32U) | device();
 }
 
-/// Placements stand in the store: a node without one is never the primary of a key.
+/// Refuses a keyed call on a node without a store. Placements are stored there, so such a node is never the primary of a key.
 static auto refuseKeyedCall() -> transport::Task<transport::CallAnswer>
 {
     auto answer = transport::CallAnswer();
@@ -75,7 +75,7 @@
     m_entryPeers.setSilenceObserver([this] { didFindSilence(); });
     m_controlPlane = std::make_unique<ControlPlane>(m_control.io(), m_settings, m_adapter, m_board,
                                                     m_metrics, handlers(), m_start, seed());
-    // Surroundings with a protocol of their own send no idempotency keys.
+    // A platform with its own call protocol sends no idempotency keys.
     if (settings.store.empty() || m_adapter.calls)
         return;
     m_keyedGate.emplace(
@@ -126,7 +126,8 @@
     return m_adapter.calls ? &*m_adapter.calls : nullptr;
 }
 
-/// On any thread. What silenced one connection of this host may have silenced those of its other threads.
+/// Checks the connections of all threads after one has stopped responding, since the cause may affect all of them. May be
+/// called on any thread.
 auto Node::didFindSilence() -> void
 {
     asio::post(m_entryThread.io(), [this] { m_entryPeers.verifyLinks(); });
@@ -135,7 +136,7 @@
         asio::post(m_gateThread.io(), [this] { m_keyedGate->verifyLinks(); });
 }
 
-/// On the entry's thread.
+/// Applies the new configuration to the entry. Runs on the entry's thread.
 auto Node::didChangeConfiguration() -> void
 {
     m_entry.didChangeConfiguration();
@@ -182,20 +183,21 @@
             .add("peer_port", m_peerServer.port());
 }
 
-/// From the gate's thread to the control thread, which has the datagrams.
+/// Moves a datagram from the gate's thread to the control thread, which owns the datagram channel.
 auto Node::tellGate(const NodeId &to, const std::string &payload) -> void
 {
     asio::post(m_control.io(), [this, to, payload] { m_controlPlane->sendToGate(to, payload); });
 }
 
-/// From the entry's thread to the control thread.
+/// Moves a token request from the entry's thread to the control thread.
 auto Node::askForTokens(const NodeId &grantor, const std::string &payload) -> void
 {
     asio::post(m_control.io(),
                [this, grantor, payload] { m_controlPlane->askForTokens(grantor, payload); });
 }
 
-/// On the gate's thread: a call for this host's backend server, or one whose key this node may have to bind first.
+/// Serves a call to this host's backend server, or a keyed call whose key this node may have to bind first. Runs on the
+/// gate's thread.
 auto Node::handleCall(transport::CallRequest request, transport::CancellationPtr cancellation)
         -> transport::Task<transport::CallAnswer>
 {
@@ -206,7 +208,8 @@
     return refuseKeyedCall();
 }
 
-/// From the gate's thread to the entry's and back: the key is bound here, the call runs at any upstream of its service.
+/// Runs a call, whose key is bound to this node, at any upstream of its service. Called on the gate's thread; the call runs
+/// on the entry's thread.
 auto Node::placeBoundCall(transport::CallRequest request, transport::CancellationPtr cancellation)
         -> transport::Task<transport::CallAnswer>
 {
@@ -238,7 +241,7 @@
     m_board.gateState.publish(std::move(state));
 }
 
-/// The order matters: running calls may still make deeper calls through this host's entry, so the gate empties first.
+/// The gate is drained before the entry, since running calls may still make deeper calls through this host's entry.
 auto Node::startDrain(std::string cause) -> void
 {
     asio::post(m_control.io(), [this, cause = std::move(cause)] {
@@ -255,7 +258,7 @@
     });
 }
 
-/// Callers that see that the node is not ready go elsewhere; until then everything is served as before.
+/// Makes the node unready and continues to serve requests for the stop notice, in which callers choose other nodes.
 auto Node::stopTakingCallers() -> void
 {
     if (m_settings.stopNotice <= Duration::zero()) {
@@ -281,7 +284,7 @@
     asio::post(m_gateThread.io(), [this] { m_gate.drain([this] { drainKeys(); }); });
 }
 
-/// Hands the keyed slots over while the entry still places the calls that are bound here. On the gate's thread.
+/// Hands the keyed slots over while the entry still runs the calls whose keys are bound here. Runs on the gate's thread.
 auto Node::drainKeys() -> void
 {
     auto didFinish = [this](bool /*isWhole*/) {
@@ -317,7 +320,7 @@
     });
 }
 
-/// The word that this node goes is repeated while its last requests end.
+/// Finishes when the peer links are drained and the leave message has been repeated, which happen concurrently.
 auto Node::finishDrainIfDone() -> void
 {
     if (m_arePeersDrained && m_hasLeft)
@@ -343,7 +346,7 @@
     return isWhole;
 }
 
-/// SIGHUP asks for the settings to be read again, and never ends the process.
+/// Reads the settings again on each SIGHUP. Without a settings file SIGHUP has no effect; it never ends the process.
 static auto reloadUponSignal(asio::signal_set &hangUp, const NodeAdapter &adapter) -> void
 {
     hangUp.async_wait([&hangUp, &adapter](const boost::system::error_code &ec, int) {
--- a/source/node/Node.h
+++ b/source/node/Node.h
@@ -24,7 +24,7 @@
 
 namespace stairspur::node {
 
-/// The daemon: its threads, and what lives on each.
+/// The daemon: its threads and the objects that belong to each of them.
 class Node
 {
 public:
@@ -38,10 +38,10 @@
     /// Binds the ports and starts the threads. Throws SettingError when a port cannot be bound.
     auto start() -> void;
 
-    /// Begins the graceful shutdown; may be called from any thread, and more than once.
+    /// Starts the graceful shutdown; `cause` is logged. May be called from any thread, and more than once.
     auto startDrain(std::string cause) -> void;
 
-    /// Waits until the shutdown is done. Whether every running call ended whole within the drain timeout.
+    /// Waits until the shutdown is complete. Returns whether every running call completed within the drain timeout.
     auto waitUntilStopped() -> bool;
 
 private:
@@ -69,11 +69,11 @@
 
     NodeSettings m_settings;
     NodeAdapter m_adapter;
-    Incarnation m_start; ///< Of this process.
+    Incarnation m_start; ///< Incarnation of this process.
     NodeBoard m_board;
     NodeMetrics m_metrics;
     RunningCalls m_running;
-    SecureCallIds m_callIds; ///< For the gate alone.
+    SecureCallIds m_callIds; ///< Used by the gate only.
     IoThread m_control{"control"};
     IoThread m_entryThread{"entry"};
     IoThread m_gateThread{"gate"};
@@ -82,7 +82,8 @@
     Entry m_entry;
     QuarantineKeeper m_quarantine;
     Gate m_gate;
-    std::optional<KeyedGate> m_keyedGate; ///< None without a store, which keeps the placements.
+    std::optional<KeyedGate>
+            m_keyedGate; ///< Empty without a store, since the store contains the placements.
     transport::HttpServer m_entryServer;
     PeriodicTask m_publishEntry;
     PeriodicTask m_publishGate;
@@ -91,7 +92,7 @@
     transport::Timer m_noticeTimer;
     bool m_isDraining = false;
     bool m_arePeersDrained = false;
-    bool m_hasLeft = false; ///< The other nodes have been told that this one goes.
+    bool m_hasLeft = false; ///< The leave message to the other nodes has been sent.
     bool m_isStopped = false;
     std::promise<bool> m_stopped;
 };
--- a/source/node/NodeBoard.h
+++ b/source/node/NodeBoard.h
@@ -18,10 +18,10 @@
 
 namespace stairspur::node {
 
-/// The backend server of this host, as it announced itself.
+/// The backend server of this host, as described by its latest announcement.
 struct LocalBackend
 {
-    std::string service; ///< Empty: none has announced itself.
+    std::string service; ///< Empty: no backend server has announced itself.
     std::uint16_t port = 0;
     std::uint32_t slots = 0;
     membership::ServingState state = membership::ServingState::Starting;
@@ -29,14 +29,14 @@
     membership::BackendLife life{};
 };
 
-/// Whether its end, or its silence, is planned.
+/// Returns whether the backend server is shutting down or has left, so that its end or its silence is planned.
 inline auto isLeaving(const LocalBackend &backend) -> bool
 {
     return backend.state == membership::ServingState::Draining
            || backend.state == membership::ServingState::Left;
 }
 
-/// The floors of the services below this host's, as its entry sees them.
+/// The floors of the services that this host's service calls, as estimated by its entry.
 struct DeeperFloorsHeard
 {
     std::vector<Level> byRank;
@@ -45,14 +45,14 @@
     auto operator==(const DeeperFloorsHeard &) const -> bool = default;
 };
 
-/// How far the node's graceful shutdown has come.
+/// Stage of the node's graceful shutdown.
 enum class LifeStage {
     Running,
-    Draining, ///< The gate refuses new work; running work ends.
-    Stopping, ///< Nothing runs any more; connections are being closed.
+    Draining, ///< The gate refuses new calls; running calls complete.
+    Stopping, ///< No call runs any more; connections are being closed.
 };
 
-/// The nodes that can be asked for something: neither dead nor gone.
+/// Returns the nodes that can receive requests: those that are neither dead nor left.
 inline auto aliveNodes(const membership::MembershipView &view) -> std::vector<quota::StartedNode>
 {
     auto nodes = std::vector<quota::StartedNode>();
@@ -63,26 +63,27 @@
     return nodes;
 }
 
-/// The configuration in force; null before there is any.
+/// The configuration in force; null before the first one.
 using ConfigurationIndexPtr = std::shared_ptr<const config::ConfigurationIndex>;
 
-/// How lately the configuration in force was the newest; nothing: not known.
+/// Latest time at which the configuration in force was proven to be the newest.
 struct ConfigurationProof
 {
-    std::optional<TimePoint> provenAt;
+    std::optional<TimePoint> provenAt; ///< Empty: never proven.
 
+    /// Returns the time since the proof; empty if there is none.
     [[nodiscard]] auto age(TimePoint now) const -> std::optional<Duration>
     {
         return provenAt ? std::optional<Duration>(now - *provenAt) : std::nullopt;
     }
 };
 
-/// What the controllers and the traffic threads know in common. Each key has one writer.
+/// State that the controllers and the traffic threads share. Each key has one writer.
 struct NodeBoard
 {
     blackboard::Entry<ConfigurationIndexPtr>
             configuration; ///< Written by the distribution controller.
-    /// Written by the distribution controller, after the configuration that it speaks of.
+    /// Written by the distribution controller, after the configuration to which it refers.
     blackboard::Entry<ConfigurationProof> configurationProof;
     blackboard::Entry<membership::MembershipView>
             members;                                   ///< Written by the membership controller.
@@ -91,7 +92,7 @@
     blackboard::Entry<DeeperFloorsHeard> deeperFloors; ///< Written by the entry.
     blackboard::Entry<EntryState> entryState;          ///< Written by the entry's thread.
     blackboard::Entry<GateState> gateState;            ///< Written by the gate's thread.
-    /// Requests on trial or refused; written by the gate's thread.
+    /// Suspected and refused requests; written by the gate's thread.
     blackboard::Entry<std::vector<quarantine::QuarantineEntry>> quarantine;
 };
 
--- a/source/node/NodeMetrics.cpp
+++ b/source/node/NodeMetrics.cpp
@@ -22,31 +22,32 @@
 NodeMetrics::NodeMetrics()
     : m_entryRefusals(m_registry,
                       {"stairspur_entry_refusals_total",
-                       "Calls that the entry ended without sending them, by reason."},
+                       "Calls that the entry refused without sending them, by reason."},
                       "reason")
-    , m_routes(m_registry,
-               {"stairspur_routes_total", "Choices of an upstream, by how it was made."}, "choice")
+    , m_routes(m_registry, {"stairspur_routes_total", "Choices of an upstream, by kind of choice."},
+               "choice")
     , m_attempts(m_registry, {"stairspur_attempts_total", "Attempts at upstreams, by outcome."},
                  "outcome")
-    , m_attemptReasons(
-              m_registry,
-              {"stairspur_attempt_failures_total", "Attempts without a whole answer, by reason."},
-              "reason")
+    , m_attemptReasons(m_registry,
+                       {"stairspur_attempt_failures_total",
+                        "Attempts without a complete response, by reason."},
+                       "reason")
     , m_retries(m_registry,
                 {"stairspur_retry_decisions_total",
-                 "What was decided after an attempt without a whole answer."},
+                 "Decisions after an attempt without a complete response."},
                 "decision")
     , m_entryLatency(m_registry.histogram(
               {"stairspur_entry_latency_seconds",
-               "From a call read at the entry to its final answer, refusals included."}))
+               "Time from reading a call at the entry to its final answer, refusals included."}))
     , m_gateWait(m_registry.histogram(
               {"stairspur_gate_wait_seconds",
-               "From a call's asking the gate for a place to the gate's decision."}))
+               "Time from a call's request for a slot to the gate's decision."}))
     , m_gateAdded(m_registry.histogram(
               {"stairspur_gate_added_seconds",
-               "Time of calls that ran at this gate, without the backend server's."}))
-    , m_backendLatency(m_registry.histogram({"stairspur_backend_latency_seconds",
-                                             "From a call sent to the backend server to its end."}))
+               "Time of calls that ran at this gate, without the time at the backend server."}))
+    , m_backendLatency(
+              m_registry.histogram({"stairspur_backend_latency_seconds",
+                                    "Time from sending a call to the backend server to its end."}))
     , m_entryClasses(m_registry)
     , m_gateClasses(m_registry)
 {}
--- a/source/node/NodeMetrics.h
+++ b/source/node/NodeMetrics.h
@@ -13,37 +13,39 @@
 
 namespace stairspur::node {
 
-/// What the traffic threads count: each decision and each outcome, and how long things took. Counting takes no lock; the
-/// metrics of a service class are found in a list that one thread owns. docs/operations/metrics.md tells what each means.
+/// The metrics of the traffic threads: decisions, outcomes and latencies. Updates take no lock; the metrics of a service
+/// class are in a list that one thread owns. docs/operations/metrics.md describes each metric.
 class NodeMetrics
 {
 public:
     NodeMetrics();
 
-    /// The entry ended a call without sending it anywhere. On the entry's thread, as all of the next six.
+    /// Records that the entry refused a call without sending it. Called on the entry's thread, as the functions up to
+    /// didAnswerAtEntry() are.
     auto didRefuseAtEntry(Reason reason) -> void { m_entryRefusals.increment(reason); }
+    /// Records how an upstream was chosen.
     auto didRoute(routing::RouteReason choice) -> void { m_routes.increment(choice); }
-    /// One attempt ended; `reason` is Reason::None for a whole answer.
+    /// Records the outcome of one attempt; `reason` is Reason::None for a complete response.
     auto didEndAttempt(Outcome outcome, Reason reason) -> void;
-    /// What was decided after an attempt without a whole answer.
+    /// Records the decision after an attempt without a complete response.
     auto didDecideRetry(retry::RetryDecision decision) -> void { m_retries.increment(decision); }
-    /// A call got its final answer, `latency` after the entry had read it.
+    /// Records the final response to a call, `latency` after the entry had read the call.
     auto didAnswerAtEntry(std::string_view className, Outcome outcome, Duration latency) -> void;
 
-    /// The gate refused a call before it ran. On the gate's thread, as all that follow.
+    /// Records that the gate refused a call before it ran. Called on the gate's thread, as all functions below are.
     auto didRefuseAtGate(std::string_view className, Reason reason) -> void;
-    /// A call was decided, `wait` after it had asked for a place.
+    /// Records that the gate admitted or refused a call, `wait` after the call had requested a slot.
     auto didWaitAtGate(Duration wait) -> void { m_gateWait.record(wait); }
-    /// The backend server ended a call, `latency` after it was sent there.
+    /// Records the outcome of a call at the backend server, `latency` after it was sent there.
     auto didRunAtBackend(std::string_view className, Outcome outcome, Duration latency) -> void;
-    /// What this gate added to a call that ran: its time here without the backend server's.
+    /// Records the time that this gate added to a call that ran: its total time here without the time at the backend server.
     auto didAddAtGate(Duration added) -> void { m_gateAdded.record(added); }
 
-    /// In the Prometheus text format. On any thread.
+    /// Returns the metrics in the Prometheus text format. May be called on any thread.
     [[nodiscard]] auto render() const -> std::string { return m_registry.renderPrometheus(); }
 
 private:
-    /// What the entry counts for one class.
+    /// The entry's metrics of one class.
     struct EntryClass
     {
         EntryClass(metrics::Registry &registry, const metrics::Labels &labels);
@@ -51,7 +53,7 @@
         metrics::EnumCounters<Outcome> answers;
     };
 
-    /// What the gate counts for one class.
+    /// The gate's metrics of one class.
     struct GateClass
     {
         GateClass(metrics::Registry &registry, const metrics::Labels &labels);
--- a/source/node/PeriodicTask.h
+++ b/source/node/PeriodicTask.h
@@ -8,7 +8,7 @@
 
 namespace stairspur::node {
 
-/// Does something at once and then again and again, on the thread of an io_context, for as long as that runs.
+/// Runs a task immediately and then periodically on the thread of an io_context, for as long as the io_context runs.
 class PeriodicTask
 {
 public:
@@ -18,7 +18,7 @@
         , m_task(std::move(task))
     {}
 
-    /// Call before the thread starts, or on it.
+    /// Runs the task and schedules the next run. Call before the thread starts, or on it.
     auto start() -> void
     {
         m_task();
--- a/source/node/ProcessUsage.cpp
+++ b/source/node/ProcessUsage.cpp
@@ -9,7 +9,7 @@
 
 namespace stairspur::node {
 
-/// Fields of /proc/self/stat between the command's name and the user mode's ticks.
+/// Number of fields in /proc/self/stat between the command's name and the ticks in user mode.
 static constexpr auto FieldsBeforeTicks = 11;
 
 static auto readWhole(const char *path) -> std::string
@@ -23,7 +23,7 @@
 {
     static constexpr auto MicrosecondsPerSecond = std::int64_t{1'000'000};
     auto usage = ProcessUsage();
-    // The command's name stands in parentheses and may hold anything, also spaces and parentheses.
+    // The command's name is in parentheses and may itself contain spaces and parentheses.
     const auto nameEnd = stat.rfind(')');
     if (nameEnd != std::string_view::npos) {
         auto fields = std::istringstream(std::string(stat.substr(nameEnd + 1)));
--- a/source/node/QuarantineArchive.cpp
+++ b/source/node/QuarantineArchive.cpp
@@ -16,11 +16,13 @@
 using transport::Task;
 
 static constexpr auto AllServicesPrefix = "/stairspur/quarantine/";
-/// The longest that the users' platform grants, and twice the first hold: what has not been needed again by then may go.
+/// The longest lease that the users' platform grants, and twice the initial refusal time. A record that was not needed again
+/// within this time may expire.
 static constexpr auto KeyLifetime = Duration{600'000'000};
-/// Between two tries at a store that fails. It is asked by one node for each verdict, so that no backoff is needed.
+/// Time between two attempts at a failing store. One node writes each record, so no backoff is needed.
 static constexpr auto RetryPause = Duration{1'000'000};
-/// A store that is away for longer is given up: the nodes know the verdict, and only a start of all of them would need the key.
+/// Number of attempts before an operation is given up. The nodes have the decision in memory; only a restart of all of them
+/// would need the key.
 static constexpr auto MostTries = 300;
 
 QuarantineArchive::QuarantineArchive(asio::io_context &io, store::AnyStore &store, Restore restore)
@@ -47,7 +49,7 @@
     const auto keys = prefix();
     for (auto n = 0; n < MostTries; ++n) {
         auto request = store::RangeRequest{keys, store::endOfPrefix(keys)};
-        // Verdicts of the last seconds come from the peers that reached them.
+        // Decisions of the last seconds come from the peers that made them.
         request.mayBeStale = true;
         const auto answer = co_await m_store.range(std::move(request));
         if (answer.isOk()) {
--- a/source/node/QuarantineArchive.h
+++ b/source/node/QuarantineArchive.h
@@ -12,9 +12,10 @@
 
 namespace stairspur::node {
 
-/// Keeps in the platform's store which requests a service refuses, for the case that all of its nodes start at once: without
-/// it each verdict would cost three backend servers anew. One leased key for each, written by the node that saw the deciding crash;
-/// read by each node once, when it knows its service. Belongs to the control thread.
+/// Saves the refused requests of a service to the platform's store, for the case that all of its nodes restart at once:
+/// otherwise three backend servers would crash again before each request is refused. Each request has one leased key, which
+/// the node with the deciding crash writes. Each node reads the keys once, when its service is set. Belongs to the control
+/// thread.
 class QuarantineArchive
 {
 public:
@@ -23,10 +24,11 @@
     /// The store must outlive the archive's io_context.
     QuarantineArchive(transport::asio::io_context &io, store::AnyStore &store, Restore restore);
 
-    /// The service of this host's backend server; what the store keeps for it is read once.
+    /// Sets the service of this host's backend server and starts reading its records from the store. Has no effect if the
+    /// service is empty or unchanged.
     auto setService(const std::string &service) -> void;
 
-    /// Keeps `saved` under `name`, or, when it is empty, what was kept no longer.
+    /// Writes the record `saved` of the request `name` to the store, or removes the record if `saved` is empty.
     auto save(const std::string &name, const std::string &saved) -> void;
 
 private:
@@ -41,7 +43,7 @@
     store::AnyStore &m_store;
     Restore m_restore;
     std::string m_service;
-    std::map<std::string, std::string> m_unsaved; ///< By name; being written.
+    std::map<std::string, std::string> m_unsaved; ///< Records that are being written, by name.
 };
 
 } // namespace stairspur::node
--- a/source/node/QuarantineKeeper.cpp
+++ b/source/node/QuarantineKeeper.cpp
@@ -11,7 +11,7 @@
 using quarantine::QuarantineChange;
 using quarantine::RequestFingerprint;
 
-/// Between two ticks where nothing is due earlier.
+/// Time between two ticks if no action is due earlier.
 static constexpr auto TickInterval = Duration{1'000'000};
 
 auto fingerprintOf(const transport::CallRequest &request) -> RequestFingerprint
@@ -97,7 +97,7 @@
     return released;
 }
 
-/// Whether a member's gate belongs to the service and can be reached. One that drains still answers.
+/// Returns whether a member's gate belongs to the service and is reachable. A draining gate still responds.
 static auto isPeer(const membership::Member &member, const std::string &service, const NodeId &own)
         -> bool
 {
--- a/source/node/QuarantineKeeper.h
+++ b/source/node/QuarantineKeeper.h
@@ -16,14 +16,14 @@
 
 namespace stairspur::node {
 
-/// Topic of the datagrams by which gates of one service tell each other of crashes.
+/// Topic of the crash reports between gates of one service.
 inline constexpr auto QuarantineTopic = "quarantine";
 
-/// The request that a call makes, as quarantine tells requests apart.
+/// Returns the fingerprint by which the quarantine identifies the request of a call.
 auto fingerprintOf(const transport::CallRequest &request) -> quarantine::RequestFingerprint;
 
-/// Runs the quarantine of this host's service: takes its peers from the blackboard, sends and logs what the state has made.
-/// Belongs to the gate's thread.
+/// Runs the quarantine of this host's service: reads the peers from the blackboard, sends the datagrams of QuarantineState
+/// and logs its events. Belongs to the gate's thread.
 class QuarantineKeeper
 {
 public:
@@ -33,22 +33,24 @@
     QuarantineKeeper(boost::asio::io_context &io, NodeBoard &board, NodeId node, std::uint64_t seed,
                      Send send);
 
-    /// Called with what has to outlive all nodes: a request is refused now because of what this gate saw, or, with an empty
-    /// text, no longer.
+    /// Sets the function that saves records which must survive a restart of all nodes. It is called when a request becomes
+    /// refused because of a crash at this gate, and with an empty text when it is no longer refused.
     auto setSaveHandler(Save save) -> void { m_save = std::move(save); }
 
-    /// Begins to ask peers.
+    /// Starts the periodic queries to peers.
     auto start() -> void;
 
     [[nodiscard]] auto judge(const quarantine::RequestFingerprint &request) const
             -> quarantine::Judgement;
+    /// Records a crash of the backend server while `requests` ran.
     auto didCrash(const std::vector<quarantine::RequestFingerprint> &requests) -> void;
+    /// Records that the backend server answered `request`.
     auto didAnswer(const quarantine::RequestFingerprint &request) -> void;
-    /// A datagram of another node.
+    /// Processes a datagram of another node.
     auto receive(const NodeId &from, const std::string &payload) -> void;
-    /// What was kept where it outlives all nodes.
+    /// Restores a record that was saved to the store.
     auto restore(const std::string &saved) -> void;
-    /// An operator lets a request run again; how many there were of that name.
+    /// Releases the requests named `name` for an operator, so that they may run again. Returns their number.
     auto release(std::string_view name) -> std::size_t;
 
 private:
@@ -68,7 +70,7 @@
     TimePoint m_nextTick;
     std::uint64_t m_membersGeneration = 0;
     std::uint64_t m_backendGeneration = 0;
-    bool m_hasEntries = false; ///< The blackboard tells of some.
+    bool m_hasEntries = false; ///< Whether the list on the blackboard is not empty.
 };
 
 } // namespace stairspur::node
--- a/source/node/QuotaKeeper.cpp
+++ b/source/node/QuotaKeeper.cpp
@@ -10,7 +10,7 @@
 
 using quota::QuotaDecision;
 
-/// Often enough against the time in which an ask is given up, 80 ms.
+/// Time between two ticks, short compared to the 80 ms after which a token request is given up.
 static constexpr auto TickInterval = Duration{20'000};
 
 QuotaKeeper::QuotaKeeper(transport::asio::io_context &io, const NodeBoard &board,
--- a/source/node/QuotaKeeper.h
+++ b/source/node/QuotaKeeper.h
@@ -17,25 +17,26 @@
 
 namespace stairspur::node {
 
-/// Runs QuotaHolder for this host's entry: takes the nodes from the blackboard, lets requests wait for tokens. Belongs to the
-/// entry's thread.
+/// Runs QuotaHolder for this host's entry: reads the nodes from the blackboard and suspends requests until they have a token.
+/// Belongs to the entry's thread.
 class QuotaKeeper
 {
 public:
-    /// Sends to the grantor, which may be this very node.
+    /// Sends a datagram to the grantor, which may be this node.
     using Send = std::function<void(const NodeId &to, const std::string &payload)>;
 
     QuotaKeeper(transport::asio::io_context &io, const NodeBoard &board, std::uint64_t seed,
                 Send send);
 
-    /// Waits until it is decided whether a request of the caller may run: at once or in some milliseconds, at most after
-    /// two unanswered asks.
+    /// Waits until it is decided whether a request of the caller may run: immediately, within a few milliseconds, or at the
+    /// latest after two unanswered token requests.
     auto admit(const std::string &caller, const config::RequestQuota &quota)
             -> transport::Task<quota::QuotaDecision>;
 
-    /// The admitted request ran nowhere.
+    /// Returns the token of an admitted request that was not executed.
     auto giveBack(const std::string &caller, const quota::QuotaDecision &decision) -> void;
 
+    /// Processes a grant of a grantor.
     auto receive(const quota::TokenGrant &grant) -> void;
 
 private:
--- a/source/node/RendezvousKeeper.cpp
+++ b/source/node/RendezvousKeeper.cpp
@@ -19,7 +19,7 @@
 
 static constexpr auto AllDomainsPrefix = std::string_view("/stairspur/rendezvous/");
 static constexpr auto MaxLookDelay = Duration{600'000'000};
-/// Longest and shortest time between two looks at what is due.
+/// Longest and shortest time between two checks for a due action.
 static constexpr auto LongestPause = Duration{200'000};
 static constexpr auto ShortestPause = Duration{1'000};
 
@@ -65,9 +65,9 @@
     }
 }
 
-/// Until the next call is due, to the millisecond: the times are drawn so that a failure domain which starts at once does not
-/// claim its three keys at once. On a grid of 200 ms, 194 hosts made 161 claims for 15 keys within a second, each of
-/// them three writes.
+/// Returns the time until the next action, with a resolution of a millisecond. The random delays prevent that the
+/// nodes of a failure domain which start at once all claim its three keys at once. With a resolution of 200 ms, 194 hosts
+/// made 161 claims for 15 keys within a second, and each claim is three writes.
 auto RendezvousKeeper::pause() const -> Duration
 {
     const auto due = m_knowsOtherDomains ? m_slots.due() : std::min(m_slots.due(), m_nextLook);
@@ -105,7 +105,7 @@
         m_slots.didFail(monotonicNow());
 }
 
-/// Reads the keys of all failure domains: the own ones are the slots, all of them are ways in.
+/// Reads the keys of all failure domains. Those of the own domain are its slots; all of them are possible first peers.
 auto RendezvousKeeper::readHolders() -> Task<bool>
 {
     const auto prefix = std::string(AllDomainsPrefix);
@@ -128,7 +128,8 @@
     co_return true;
 }
 
-/// All domains may start at once, and each sees the others' keys only after they are claimed.
+/// Reads the keys again until another domain is found. All domains may start at once, and their keys exist only after they
+/// have been claimed.
 auto RendezvousKeeper::lookForOtherDomains() -> Task<void>
 {
     const auto now = monotonicNow();
--- a/source/node/RendezvousKeeper.h
+++ b/source/node/RendezvousKeeper.h
@@ -15,21 +15,21 @@
 
 namespace stairspur::node {
 
-/// Carries out what RendezvousSlots decides: a few leased keys per failure domain in the platform's store, through which
-/// a node that starts finds its first peers. Belongs to the control thread.
+/// Executes the actions of RendezvousSlots: maintains a few leased keys per failure domain in the platform's store, through
+/// which a starting node finds its first peers. Belongs to the control thread.
 class RendezvousKeeper
 {
 public:
     using HintsCallback = std::function<void(const std::vector<NodeId> &)>;
 
-    /// The store must outlive the keeper's io_context.
+    /// The store must outlive the io_context. `didRead` is called with the nodes that each read has found.
     RendezvousKeeper(transport::asio::io_context &io, store::AnyStore &store, NodeId ownNode,
                      std::string domain, Duration claimSpread, HintsCallback didRead,
                      std::uint64_t seed);
 
     auto start() -> void;
 
-    /// Gives the slot back.
+    /// Releases the slot, if this node has one.
     auto leave() -> void;
 
 private:
@@ -51,12 +51,13 @@
     membership::RendezvousSettings m_settings;
     membership::RendezvousSlots m_slots;
     store::LeaseId m_lease = 0;
-    std::vector<std::optional<NodeId>> m_holders; ///< Of the own domain's slots, as last read.
-    std::uint32_t m_ignoredKeys = 0;              ///< At the last read.
-    bool m_didLoseClaim = false; ///< Somebody else's key stood there: what was read was old.
+    std::vector<std::optional<NodeId>>
+            m_holders;               ///< Holders of the own domain's slots at the last read.
+    std::uint32_t m_ignoredKeys = 0; ///< Number of invalid keys at the last read.
+    bool m_didLoseClaim = false;     ///< Another node's key existed, so the last read was stale.
     bool m_knowsOtherDomains = false;
     TimePoint m_nextLook;
-    Duration m_lookDelay{250'000}; ///< Doubles with each look that finds none.
+    Duration m_lookDelay{250'000}; ///< Doubles with each search that finds none.
 
     transport::Timer m_timer;
 };
--- a/source/node/RendezvousKeys.cpp
+++ b/source/node/RendezvousKeys.cpp
@@ -7,7 +7,7 @@
 
 namespace stairspur::node {
 
-/// The slot that the last part of a key names; nothing where it is no number of a slot.
+/// Returns the slot number in the last part of a key; empty if it is not a valid slot number.
 static auto slotOf(std::string_view digits, std::uint32_t slots) -> std::optional<std::uint32_t>
 {
     auto slot = std::uint32_t{0};
--- a/source/node/RendezvousKeys.h
+++ b/source/node/RendezvousKeys.h
@@ -10,17 +10,17 @@
 
 namespace stairspur::node {
 
-/// What the rendezvous keys of all failure domains tell one node.
+/// The content of the rendezvous keys of all failure domains, as one node uses it.
 struct RendezvousKeys
 {
-    std::vector<std::optional<NodeId>> holders; ///< By slot of the own domain.
-    std::vector<NodeId> hints;                  ///< Nodes to ask for others, of any domain.
+    std::vector<std::optional<NodeId>> holders; ///< Holders of the own domain's slots, by slot.
+    std::vector<NodeId> hints;                  ///< Possible first peers, of any domain.
     bool hasOtherDomains = false;
-    std::uint32_t ignored = 0; ///< Keys that no node of ours can have written.
+    std::uint32_t ignored = 0; ///< Number of keys that no node can have written.
 };
 
-/// Reads the keys below the prefix of all domains. Whoever has access to the store may write there: a value that is no address of
-/// a node names nobody to ask, and a key of another form is passed over. A slot of the own domain with such a value
+/// Parses the keys below the prefix of all domains. Any client with access to the store may write such keys: values that are
+/// not node addresses yield no hint, and keys of another form are ignored. A slot of the own domain with an invalid value
 /// still counts as taken, since its key cannot be created.
 auto readRendezvousKeys(const std::vector<store::KeyValue> &pairs, const std::string &ownPrefix,
                         std::uint32_t slots) -> RendezvousKeys;
--- a/source/node/StatusReport.cpp
+++ b/source/node/StatusReport.cpp
@@ -8,7 +8,7 @@
 
 namespace stairspur::node {
 
-/// How many nodes of each failure domain have which version in force, this node included.
+/// Returns the number of nodes of each failure domain by configuration version in force, including this node.
 static auto versionsByDomain(const NodeSettings &settings, const NodeBoard &board,
                              const HeardVersions &heard, std::uint64_t ownVersion) -> nlohmann::json
 {
@@ -28,7 +28,7 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-/// Null where nothing is known.
+/// Returns null if `duration` is empty.
 static auto toSeconds(const std::optional<Duration> &duration) -> nlohmann::json
 {
     return duration ? nlohmann::json(toSeconds(*duration)) : nlohmann::json();
@@ -77,15 +77,15 @@
     return reports;
 }
 
-/// How long ago the node itself was heard; null when that was long ago or never, as with most nodes of other domains,
-/// which relays speak for.
+/// Returns the time since the latest report of the node itself; null if there is no recent one, as for most nodes of other
+/// failure domains, whose records arrive through relays.
 static auto heardSecondsAgo(const HeardVersions &heard, const NodeId &node) -> nlohmann::json
 {
     const auto it = heard.find(node);
     return it == heard.end() ? nlohmann::json() : nlohmann::json(toSeconds(it->second.age));
 }
 
-/// How long the node has been taken for suspect or dead; null while it is alive.
+/// Returns how long the node has been suspect or dead; null while it is alive.
 static auto judgedSecondsAgo(const LivenessHistory &history, const NodeId &node, TimePoint now)
         -> nlohmann::json
 {
@@ -111,7 +111,7 @@
     };
 }
 
-/// Requests of this node's service that are on trial or refused.
+/// Returns the suspected and the refused requests of this node's service.
 static auto quarantineReport(const NodeBoard &board) -> nlohmann::json
 {
     auto reports = nlohmann::json::array();
--- a/source/node/StatusReport.h
+++ b/source/node/StatusReport.h
@@ -10,8 +10,8 @@
 
 namespace stairspur::node {
 
-/// `GET /status`, as JSON: what this node is, what it has in force and whom it knows. `heard`: what other
-/// nodes said lately that they have in force; `history`: since when nodes are suspect or dead.
+/// Returns the body of `GET /status` as JSON: the state of this node, its configuration in force and its members. `heard`:
+/// the configuration versions that other nodes have reported recently; `history`: since when nodes have been suspect or dead.
 auto statusReport(const NodeSettings &settings, const NodeBoard &board, const HeardVersions &heard,
                   const LivenessHistory &history, TimePoint now) -> std::string;
 
--- a/source/node/VersionsHeard.cpp
+++ b/source/node/VersionsHeard.cpp
@@ -14,7 +14,7 @@
     try {
         m_heard[node] = {distribution::decodeDigest(digest).version, now};
     } catch (const InputError &) {
-        return; // The distribution counts these.
+        return; // The distribution counts malformed digests.
     }
     std::erase_if(m_heard, [now](const auto &it) { return now - it.second.at > Retention; });
 }
--- a/source/node/VersionsHeard.h
+++ b/source/node/VersionsHeard.h
@@ -10,25 +10,26 @@
 
 namespace stairspur::node {
 
-/// What a node itself said last.
+/// The latest configuration version that a node itself has reported.
 struct HeardVersion
 {
-    std::uint64_t version = 0; ///< Of the configuration that it had in force.
-    Duration age{0};           ///< Since it said so.
+    std::uint64_t version = 0; ///< Version of the configuration in force at that node.
+    Duration age{0};           ///< Time since the report was received.
 };
 
-/// By node.
+/// Reported versions by node.
 using HeardVersions = std::map<NodeId, HeardVersion>;
 
-/// Remembers what other nodes said of the configuration they have in force, for the operators' status. A node is heard
-/// about once in as many protocol periods as its failure domain has members, so that what is old says little.
+/// Records which configuration versions other nodes have reported as in force, for the status report. A node's report is
+/// received about once in as many protocol periods as its failure domain has members, so old entries are unreliable and are
+/// removed.
 class VersionsHeard
 {
 public:
-    /// A probe or ack of `node` carried `digest`; malformed ones are passed over.
+    /// Records `digest`, received with a probe or ack of `node`. Malformed digests are ignored.
     auto didHear(const NodeId &node, std::string_view digest, TimePoint now) -> void;
 
-    /// What was heard within the last ten minutes.
+    /// Returns the versions received within the last ten minutes.
     [[nodiscard]] auto recent(TimePoint now) const -> HeardVersions;
 
 private:
--- a/tests/node/Exposition.h
+++ b/tests/node/Exposition.h
@@ -9,18 +9,18 @@
 
 namespace stairspur::node {
 
-/// Reads the Prometheus text format: fails the test on a sample without a type, a name or a series that comes twice, and
-/// families in pieces.
+/// Parses the Prometheus text format. Fails the test on a sample without a type, a duplicate name or series, and a family
+/// whose samples are not contiguous.
 struct Exposition
 {
     explicit Exposition(const std::string &text)
     {
         auto lines = std::istringstream(text);
         for (auto line = std::string(); std::getline(lines, line);)
-            line.starts_with("# ") ? takeComment(line) : takeSample(line);
+            line.starts_with("# ") ? addComment(line) : addSample(line);
     }
 
-    auto takeComment(const std::string &line) -> void
+    auto addComment(const std::string &line) -> void
     {
         auto words = std::istringstream(line);
         auto hash = std::string();
@@ -31,11 +31,11 @@
         cr_assert(kind == "HELP" || kind == "TYPE", "%s", line.c_str());
         if (kind != "TYPE")
             return;
-        cr_assert(types.emplace(name, type).second, "%s comes twice", name.c_str());
+        cr_assert(types.emplace(name, type).second, "duplicate name %s", name.c_str());
         family = name;
     }
 
-    auto takeSample(const std::string &line) -> void
+    auto addSample(const std::string &line) -> void
     {
         const auto split = line.rfind(' ');
         cr_assert_neq(split, std::string::npos, "%s", line.c_str());
@@ -47,9 +47,9 @@
                                                 && (suffix == "_bucket" || suffix == "_sum"
                                                     || suffix == "_count")
                                       : name == family;
-        cr_assert(fits, "%s stands under %s", name.c_str(), family.c_str());
+        cr_assert(fits, "%s is in the family %s", name.c_str(), family.c_str());
         cr_assert(samples.emplace(series, std::stod(line.substr(split + 1))).second,
-                  "%s comes twice", series.c_str());
+                  "duplicate series %s", series.c_str());
     }
 
     [[nodiscard]] auto value(const std::string &series) const -> double
@@ -59,9 +59,9 @@
         return it->second;
     }
 
-    std::map<std::string, std::string> types; ///< By family.
-    std::map<std::string, double> samples;    ///< By name with labels.
-    std::string family;                       ///< That the next samples belong to.
+    std::map<std::string, std::string> types; ///< Types by family.
+    std::map<std::string, double> samples;    ///< Values by name with labels.
+    std::string family;                       ///< Family of the next samples.
 };
 
 } // namespace stairspur::node
--- a/tests/node/TestAdminApi.cpp
+++ b/tests/node/TestAdminApi.cpp
@@ -7,7 +7,7 @@
 using namespace stairspur;
 using namespace stairspur::node;
 
-/// Hooks that note what they are asked; announcements are read as the node reads them.
+/// Hooks that count their calls. Announcements are parsed as the node parses them.
 struct FakeNode
 {
     auto api() -> AdminApi
@@ -30,8 +30,8 @@
     int drains = 0;
 };
 
-static auto ask(FakeNode &node, const std::string &method, const std::string &target,
-                const std::string &body = {}) -> transport::HttpResponse
+static auto send(FakeNode &node, const std::string &method, const std::string &target,
+                 const std::string &body = {}) -> transport::HttpResponse
 {
     auto request = transport::HttpRequest{.method = method, .target = target, .body = body};
     return node.api().handle(request);
@@ -40,7 +40,7 @@
 static constexpr auto GoodAnnouncement =
         R"({"service": "menu", "port": 8080, "slots": 8, "state": "serving"})";
 
-Test(AdminApi, eachPathAndMethodHasItsAnswer)
+Test(AdminApi, eachPathAndMethodHasItsStatus)
 {
     struct
     {
@@ -60,7 +60,8 @@
     for (const auto &it : cases) {
         auto node = FakeNode();
         const auto isAnnouncement = std::string_view(it.path) == "/announce";
-        const auto response = ask(node, it.method, it.path, isAnnouncement ? GoodAnnouncement : "");
+        const auto response =
+                send(node, it.method, it.path, isAnnouncement ? GoodAnnouncement : "");
         cr_expect_eq(response.status, it.status, "%s %s: %u", it.method, it.path, response.status);
         const auto isProblem = response.headers.find("Content-Type") == "application/problem+json";
         cr_expect_eq(isProblem, it.status >= 400, "%s %s", it.method, it.path);
@@ -71,7 +72,7 @@
     }
 }
 
-Test(AdminApi, whatIsNoAnnouncementIsRefusedWithARemedy)
+Test(AdminApi, invalidAnnouncementsAreRefusedWithARemedy)
 {
     for (const auto *it :
          {"", "hello", "[]", "{}", R"({"service": "menu"})", R"({"service": 7, "port": 8080})",
@@ -80,28 +81,28 @@
           R"({"service": "menu", "port": 8080, "slots": -1, "state": "serving"})",
           R"({"service": "menu", "port": 8080, "slots": 8, "state": "busy"})", "\xff\xfe"}) {
         auto node = FakeNode();
-        const auto response = ask(node, "POST", "/announce", it);
+        const auto response = send(node, "POST", "/announce", it);
         cr_expect_eq(response.status, 400, "%s: %u", it, response.status);
         cr_expect_eq(node.announcements, 0, "%s", it);
-        // Problem and remedy are parted by a semicolon in every message.
+        // Each message separates the problem and the remedy by a semicolon.
         cr_expect_neq(response.body.find("; "), std::string::npos, "%s: %s", it,
                       response.body.c_str());
     }
 }
 
-Test(AdminApi, onlyReadinessTellsOfReadiness)
+Test(AdminApi, onlyReadyzDependsOnReadiness)
 {
     auto node = FakeNode();
     node.isReady = false;
-    cr_assert_eq(ask(node, "GET", "/readyz").status, 503);
-    cr_assert_eq(ask(node, "GET", "/readyz").body, "{\"ready\":false}\n");
-    cr_assert_eq(ask(node, "GET", "/healthz").status, 200);
-    cr_assert_eq(ask(node, "GET", "/status").status, 200);
+    cr_assert_eq(send(node, "GET", "/readyz").status, 503);
+    cr_assert_eq(send(node, "GET", "/readyz").body, "{\"ready\":false}\n");
+    cr_assert_eq(send(node, "GET", "/healthz").status, 200);
+    cr_assert_eq(send(node, "GET", "/status").status, 200);
 }
 
-Test(AdminApi, anOperatorReleasesAKnownRequest)
+Test(AdminApi, operatorReleasesAQuarantinedRequest)
 {
     auto node = FakeNode();
-    cr_assert_eq(ask(node, "POST", "/release", "0123456789ab").status, 202);
-    cr_assert_eq(ask(node, "POST", "/release", "another").status, 404);
+    cr_assert_eq(send(node, "POST", "/release", "0123456789ab").status, 202);
+    cr_assert_eq(send(node, "POST", "/release", "another").status, 404);
 }
--- a/tests/node/TestFleetFloors.cpp
+++ b/tests/node/TestFleetFloors.cpp
@@ -5,10 +5,11 @@
 using namespace stairspur;
 using namespace stairspur::overload;
 
-/// Whether what the deepest service admits is known where requests begin, whatever the number of hosts. Each host's own
-/// load is the same at every size, so that in a larger fleet one host hears of another less often: with 20 hosts each pair
-/// of an entry and a gate speaks some ten times a second, with 2,000 less than once.
-static auto surgeOf(std::uint32_t hosts) -> ClassResult
+/// Simulates an overload of the deepest service and returns the result of the least important class. The entries where
+/// requests begin must learn the floor of the deepest service at each number of hosts. The load of each host is the same at
+/// each size, so in a larger fleet a host receives reports of another one less often: about ten times a second for each pair
+/// of an entry and a gate with 20 hosts, less than once a second with 2,000.
+static auto runSurge(std::uint32_t hosts) -> ClassResult
 {
     auto scenario = Scenario();
     scenario.deployment = fleetOf(hosts);
@@ -34,21 +35,22 @@
     return results.classes().back();
 }
 
-/// Of the tries without an answer, those that a backend server had begun to work for.
-static auto begunShare(const ClassResult &result) -> double
+/// Returns the share of the tries without an answer that a backend server had started to execute.
+static auto startedShare(const ClassResult &result) -> double
 {
     const auto lost = result.lostBeforeStart + result.lostAfterStart;
     return static_cast<double>(result.lostAfterStart) / static_cast<double>(lost);
 }
 
-/// With floors taken pair by pair the shares were 0.27, 0.39 and 0.45; of what reports tell together 0.13, 0.08 and 0.09.
-Test(FleetFloors, requestsThatCannotEndAreRefusedBeforeTheyBeginAtEverySize, .timeout = 600)
+/// With floors estimated for each pair of an entry and a gate, the shares were 0.27, 0.39 and 0.45; with floors estimated
+/// from all reports together, they are 0.13, 0.08 and 0.09.
+Test(FleetFloors, requestsThatCannotCompleteAreRefusedBeforeTheyStart, .timeout = 600)
 {
-    const auto few = begunShare(surgeOf(20));
+    const auto few = startedShare(runSurge(20));
     cr_assert_leq(few, 0.16, "20 hosts: %.3f", few);
     for (const auto hosts : {200U, 2000U}) {
-        const auto result = surgeOf(hosts);
-        cr_assert_leq(begunShare(result), few, "%u hosts: %.3f", hosts, begunShare(result));
+        const auto result = runSurge(hosts);
+        cr_assert_leq(startedShare(result), few, "%u hosts: %.3f", hosts, startedShare(result));
         cr_assert_geq(result.goodput(), 0.38, "%u hosts: %.3f served", hosts, result.goodput());
     }
 }
--- a/tests/node/TestNodeMetrics.cpp
+++ b/tests/node/TestNodeMetrics.cpp
@@ -9,7 +9,7 @@
 using namespace stairspur;
 using namespace stairspur::node;
 
-static auto someControlState() -> ControlState
+static auto makeControlState() -> ControlState
 {
     auto state = ControlState();
     state.version = 12;
@@ -33,13 +33,13 @@
     return state;
 }
 
-Test(NodeMetrics, wholeExpositionHasNamesTypesAndNoDuplicates)
+Test(NodeMetrics, completeExpositionHasNamesTypesAndNoDuplicates)
 {
     auto metrics = NodeMetrics();
     metrics.didAnswerAtEntry("orders", Outcome::Answered, Duration{10});
     metrics.didRefuseAtGate("orders", Reason::QueueFull);
     metrics.didRunAtBackend("browse", Outcome::Failed, Duration{20});
-    const auto all = Exposition(metrics.render() + renderControlMetrics(someControlState()));
+    const auto all = Exposition(metrics.render() + renderControlMetrics(makeControlState()));
     for (const auto &[name, type] : all.types) {
         cr_expect(name.starts_with("stairspur_"), "%s", name.c_str());
         cr_expect_eq(type == "counter", name.ends_with("_total"), "%s", name.c_str());
@@ -47,20 +47,20 @@
     }
 }
 
-Test(NodeMetrics, eachMetricStandsInTheOperatorsPage)
+Test(NodeMetrics, eachMetricIsDescribedInTheOperatorsPage)
 {
     const auto page = config::readRepositoryFile("docs/operations/metrics.md");
     auto metrics = NodeMetrics();
     metrics.didAnswerAtEntry("orders", Outcome::Answered, Duration{10});
     metrics.didRefuseAtGate("orders", Reason::QueueFull);
-    const auto all = Exposition(metrics.render() + renderControlMetrics(someControlState()));
+    const auto all = Exposition(metrics.render() + renderControlMetrics(makeControlState()));
     for (const auto &[name, type] : all.types)
         cr_expect_neq(page.find("`" + name + "`"), std::string::npos, "%s", name.c_str());
 }
 
-Test(NodeMetrics, controlBytesAreThoseOfAllThreads)
+Test(NodeMetrics, controlMetricsSumUpAllThreads)
 {
-    const auto all = Exposition(renderControlMetrics(someControlState()));
+    const auto all = Exposition(renderControlMetrics(makeControlState()));
     struct
     {
         const char *series;
@@ -86,12 +86,12 @@
 
 Test(NodeMetrics, nodeWithoutStoreShowsNoStoreCalls)
 {
-    auto state = someControlState();
+    auto state = makeControlState();
     state.store.reset();
     cr_assert_eq(renderControlMetrics(state).find("stairspur_store_"), std::string::npos);
 }
 
-Test(NodeMetrics, classesOfStrangersAreBounded)
+Test(NodeMetrics, numberOfClassesIsBounded)
 {
     auto metrics = NodeMetrics();
     for (auto n = 0; n < 1000; ++n)
@@ -104,8 +104,8 @@
                  1000 - 64);
 }
 
-/// The counters of the whole call path, at the entry and at the gates together.
-Test(NodeMetrics, eachDecisionAndOutcomeOfACallIsCounted)
+/// Checks the counters of the complete call path, at the entry and at the gates.
+Test(NodeMetrics, decisionsAndOutcomesOfACallAreCounted)
 {
     auto path = CallPathHarness();
     for (auto n = 0; n < 2; ++n)
@@ -114,7 +114,7 @@
         });
     path.start(path.request("menu", "x"));
     path.start(path.request("nowhere", "x"));
-    path.start(path.request("lonely", "x")); // No host serves it.
+    path.start(path.request("lonely", "x")); // No host serves this service.
     cr_assert(path.finish());
     const auto entry = Exposition(path.metrics.render());
     struct
@@ -131,7 +131,7 @@
             {R"(stairspur_entry_refusals_total{reason="unknown-service"})", 1},
             {R"(stairspur_entry_refusals_total{reason="no-upstream"})", 1},
             {R"(stairspur_routes_total{choice="refused"})",
-             2}, // Both hosts of "menu" have failed it by then.
+             2}, // The call has failed at both hosts of "menu" by then.
             {"stairspur_entry_latency_seconds_count", 2},
     };
     for (const auto &it : cases)
@@ -166,7 +166,7 @@
              "900 25 3",
              {Duration{10'000}, 25 * 4096}},
             {"nothing", "", "", {}},
-            {"cut short", "7 (a) S 1 2", "900", {}},
+            {"truncated", "7 (a) S 1 2", "900", {}},
     };
     for (const auto &it : cases) {
         const auto usage = parseProcessUsage(it.stat, it.statm, 100, 4096);
--- a/tests/node/TestRendezvousKeys.cpp
+++ b/tests/node/TestRendezvousKeys.cpp
@@ -20,7 +20,7 @@
     return result;
 }
 
-Test(RendezvousKeys, slotsAndHintsAreRead)
+Test(RendezvousKeys, parsesSlotsAndHints)
 {
     const auto keys =
             read({pair("/keys/north/1", "10.0.0.1:7100"), pair("/keys/south/0", "10.0.1.1:7100")});
@@ -31,7 +31,7 @@
     cr_assert_eq(keys.ignored, 0);
 }
 
-Test(RendezvousKeys, whatNoNodeHasWrittenNamesNobody)
+Test(RendezvousKeys, invalidKeysYieldNoHints)
 {
     const auto foreign = std::vector<store::KeyValue>{
             pair("/keys/north/3", "10.0.0.1:7100"),
@@ -51,6 +51,6 @@
         cr_expect(!keys.hasOtherDomains);
         cr_expect_eq(keys.ignored, 1);
     }
-    // Its key is there, so that a claim would fail for ever.
+    // The slot counts as taken, since its key exists and each claim would fail.
     cr_assert(read({pair("/keys/north/2", "?")}).holders[2]);
 }
--- a/tests/node/TestRunNode.cpp
+++ b/tests/node/TestRunNode.cpp
@@ -9,7 +9,7 @@
 using namespace stairspur;
 using boost::asio::ip::tcp;
 
-Test(RunNode, portThatIsTakenIsAnErrorAndNoCrash)
+Test(RunNode, portInUseThrowsSettingError)
 {
     auto io = boost::asio::io_context();
     const auto taken = tcp::acceptor(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
--- a/tests/node/TestStatusReport.cpp
+++ b/tests/node/TestStatusReport.cpp
@@ -21,7 +21,7 @@
     return member;
 }
 
-Test(DomainSummary, saysWhichDomainIsCutOff)
+Test(DomainSummary, marksDomainsThatAreCutOff)
 {
     struct
     {
@@ -38,16 +38,16 @@
             {"suspect and dead",
              {member("a", "d", Liveness::Suspect), member("b", "d", Liveness::Dead)},
              true},
-            {"all said goodbye", {member("a", "d", Liveness::Dead, ServingState::Left)}, false},
-            {"goodbye and death",
+            {"all left", {member("a", "d", Liveness::Dead, ServingState::Left)}, false},
+            {"left and dead",
              {member("a", "d", Liveness::Dead, ServingState::Left),
               member("b", "d", Liveness::Dead)},
              true},
             {"alive without backend server",
              {member("a", "d", Liveness::Alive, ServingState::Left)},
              false},
-            {"this node alone", {member("self", "d", Liveness::Alive)}, false},
-            {"this node and silent ones",
+            {"this node only", {member("self", "d", Liveness::Alive)}, false},
+            {"this node and a suspect one",
              {member("self", "d", Liveness::Alive), member("b", "d", Liveness::Suspect)},
              true},
     };
@@ -57,7 +57,7 @@
     }
 }
 
-Test(DomainSummary, countsMembersAndTakesTheLatestWord)
+Test(DomainSummary, countsMembersAndTakesTheLatestReport)
 {
     const auto heard = HeardVersions{
             {"self", {1, Duration{1}}}, {"a", {1, Duration{500}}}, {"b", {1, Duration{300}}}};
@@ -79,7 +79,7 @@
     cr_assert(!domains.at("e").heardAge);
 }
 
-Test(LivenessHistory, remembersSinceWhenANodeIsJudged)
+Test(LivenessHistory, recordsSinceWhenANodeIsSuspectOrDead)
 {
     auto history = LivenessHistory();
     const auto at = [](int seconds) { return TimePoint(std::chrono::seconds(seconds)); };
@@ -94,7 +94,7 @@
     cr_assert(!history.since("a"));
 }
 
-Test(StatusReport, saysHowLongAgoANodeWasHeardAndJudged)
+Test(StatusReport, containsAgesOfReportsAndJudgements)
 {
     auto settings = NodeSettings();
     settings.failureDomain = "d";
