--- a/source/node/AnnouncementRefusals.cpp
+++ b/source/node/AnnouncementRefusals.cpp
@@ -11,9 +11,9 @@
                                      TimePoint now) -> void
 {
     ++m_count;
-    if (m_toldAt && now - *m_toldAt < LineInterval)
+    if (m_loggedAt && now - *m_loggedAt < LineInterval)
         return;
-    m_toldAt = now;
+    m_loggedAt = now;
     ++m_lines;
     log::Line(log::Severity::Warning, "announcement-refused")
             .add("instance", instance)
--- a/source/node/AnnouncementRefusals.h
+++ b/source/node/AnnouncementRefusals.h
@@ -26,7 +26,7 @@
 private:
     std::uint64_t m_count = 0;
     std::uint64_t m_lines = 0;
-    std::optional<TimePoint> m_toldAt;
+    std::optional<TimePoint> m_loggedAt;
 };
 
 } // namespace stairspur::node
--- a/source/node/ControlMetrics.cpp
+++ b/source/node/ControlMetrics.cpp
@@ -11,7 +11,7 @@
 using metrics::Registry;
 
 /// The value of a counter for one value of its label.
-struct Labelled
+struct LabelledValue
 {
     const char *label;
     std::uint64_t value;
@@ -24,7 +24,8 @@
 }
 
 static auto addCounters(Registry &registry, const metrics::MetricText &text,
-                        const std::string &label, std::initializer_list<Labelled> values) -> void
+                        const std::string &label, std::initializer_list<LabelledValue> values)
+        -> void
 {
     for (const auto &it : values)
         registry.counter(text, {{label, it.label}}).increment(it.value);
@@ -184,7 +185,7 @@
                sum.damagedFrames);
 }
 
-static auto addPresent(Registry &registry, const ControlState &state) -> void
+static auto addCurrentState(Registry &registry, const ControlState &state) -> void
 {
     const auto &load = state.gate.load;
     addGauge(registry, {"stairspur_gate_limit", "Calls that the gate allows to run concurrently."},
@@ -236,7 +237,7 @@
         addStore(registry, state.gate.keyedStoreCounters);
     }
     addTraffic(registry, state);
-    addPresent(registry, state);
+    addCurrentState(registry, state);
     return registry.renderPrometheus() + renderCpu(state.process);
 }
 
--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -244,9 +244,9 @@
 {
     const auto &current = m_announcements.current();
     const auto configuration = *m_board.configuration.read();
-    const auto isKnownLife = current && current->life == announcement.life
-                             && current->service == announcement.service;
-    if (isKnownLife || !configuration || configuration->findService(announcement.service))
+    const auto isCurrentBackend = current && current->life == announcement.life
+                                  && current->service == announcement.service;
+    if (isCurrentBackend || !configuration || configuration->findService(announcement.service))
         return;
     throw membership::AnnouncementError("announcement: no configuration names this service",
                                         "announce a service of the configuration, or apply one "
@@ -303,13 +303,13 @@
             return;
         if (m_announcements.tick(monotonicNow()))
             publishBackend();
-        noteProof();
+        logProofChange();
         scheduleTick();
     });
 }
 
 /// Logs when this host stops serving callers by their keys because its proof has expired, and when it resumes.
-auto ControlPlane::noteProof() -> void
+auto ControlPlane::logProofChange() -> void
 {
     const auto proof = *m_board.configurationProof.read();
     const auto now = monotonicNow();
@@ -337,11 +337,12 @@
 auto ControlPlane::release(const std::string &request) -> bool
 {
     const auto entries = m_board.quarantine.read();
-    const auto isKnown = std::any_of(entries->begin(), entries->end(),
-                                     [&](const auto &it) { return it.request.name() == request; });
-    if (isKnown)
+    const auto isQuarantined = std::any_of(entries->begin(), entries->end(), [&](const auto &it) {
+        return it.request.name() == request;
+    });
+    if (isQuarantined)
         m_handlers.release(request);
-    return isKnown;
+    return isQuarantined;
 }
 
 auto ControlPlane::announceDraining() -> void
--- a/source/node/ControlPlane.h
+++ b/source/node/ControlPlane.h
@@ -114,7 +114,7 @@
     auto didPublish(config::ConfigurationPtr configuration) -> void;
     auto makeDistribution(transport::asio::io_context &io, std::uint64_t seed) -> void;
     auto scheduleTick() -> void;
-    auto noteProof() -> void;
+    auto logProofChange() -> void;
     auto release(const std::string &request) -> bool;
     [[nodiscard]] auto isReady() const -> bool;
     [[nodiscard]] auto renderStatus() const -> std::string;
--- a/source/node/DomainSummary.cpp
+++ b/source/node/DomainSummary.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-auto summarizeDomains(const membership::MembershipView &view, const HeardVersions &heard,
+auto summarizeDomains(const membership::MembershipView &view, const HeardVersions &reported,
                       const NodeId &self) -> std::map<std::string, DomainSummary>
 {
     auto domains = std::map<std::string, DomainSummary>();
@@ -51,10 +51,10 @@
         if (it.node == self)
             continue;
         othersAlive[it.domain] = othersAlive[it.domain] || it.liveness == Liveness::Alive;
-        const auto word = heard.find(it.node);
-        if (word != heard.end())
+        const auto version = reported.find(it.node);
+        if (version != reported.end())
             summary.heardAge =
-                    std::min(summary.heardAge.value_or(word->second.age), word->second.age);
+                    std::min(summary.heardAge.value_or(version->second.age), version->second.age);
     }
     for (auto &[name, summary] : domains)
         summary.isCutOff = !othersAlive[name] && summary.suspect + summary.dead > 0;
--- a/source/node/DomainSummary.h
+++ b/source/node/DomainSummary.h
@@ -30,9 +30,9 @@
     std::optional<Duration> heardAge;
 };
 
-/// Returns the summaries of all failure domains in `view`, by name, from the viewpoint of the node `self`. `heard`: the
+/// Returns the summaries of all failure domains in `view`, by name, from the viewpoint of the node `self`. `reported`: the
 /// versions that other nodes have reported recently.
-auto summarizeDomains(const membership::MembershipView &view, const HeardVersions &heard,
+auto summarizeDomains(const membership::MembershipView &view, const HeardVersions &reported,
                       const NodeId &self) -> std::map<std::string, DomainSummary>;
 
 } // namespace stairspur::node
--- a/source/node/FloorTeller.cpp
+++ b/source/node/FloorTeller.cpp
@@ -23,16 +23,16 @@
     if (now - m_refreshedAt < FloorInterval)
         return;
     m_refreshedAt = now;
-    tell(now);
+    publishFloors(now);
     ensureTimer();
 }
 
 /// Starts the timer while any floor is raised, so that floors can fall even when no call ends.
 auto FloorTeller::ensureTimer() -> void
 {
-    const auto isUp = [](Level it) { return it > LowestLevel; };
-    const auto isRankUp = std::ranges::any_of(m_told.byRank, isUp);
-    if (m_hasTimer || (!isRankUp && m_told.byPath.empty()))
+    const auto isRaised = [](Level it) { return it > LowestLevel; };
+    const auto isRankRaised = std::ranges::any_of(m_published.byRank, isRaised);
+    if (m_hasTimer || (!isRankRaised && m_published.byPath.empty()))
         return;
     m_hasTimer = true;
     m_timer.expires_after(FloorInterval);
@@ -43,17 +43,17 @@
     });
 }
 
-auto FloorTeller::tell(TimePoint now) -> void
+auto FloorTeller::publishFloors(TimePoint now) -> void
 {
     const auto configuration = *m_board.configuration.read();
     const auto service = m_board.backend.read()->service;
     if (!configuration || service.empty())
         return;
     auto floors = DeeperFloorsHeard{floorsByRank(*configuration, service, now), floorsByPath(now)};
-    if (floors == m_told && now - m_toldAt < FloorConfirmInterval)
+    if (floors == m_published && now - m_publishedAt < FloorConfirmInterval)
         return;
-    m_toldAt = now;
-    m_told = floors;
+    m_publishedAt = now;
+    m_published = floors;
     m_board.deeperFloors.publish(std::move(floors));
 }
 
--- a/source/node/FloorTeller.h
+++ b/source/node/FloorTeller.h
@@ -30,7 +30,7 @@
 
 private:
     auto ensureTimer() -> void;
-    auto tell(TimePoint now) -> void;
+    auto publishFloors(TimePoint now) -> void;
     [[nodiscard]] auto floorsByRank(const config::ConfigurationIndex &configuration,
                                     const std::string &service, TimePoint now) const
             -> std::vector<Level>;
@@ -41,8 +41,8 @@
     FloorAt m_floorAt;
     transport::Timer m_timer;
     bool m_hasTimer = false;
-    DeeperFloorsHeard m_told;
-    TimePoint m_toldAt;
+    DeeperFloorsHeard m_published;
+    TimePoint m_publishedAt;
     TimePoint m_refreshedAt;
 };
 
--- a/source/node/GrantorService.cpp
+++ b/source/node/GrantorService.cpp
@@ -27,7 +27,7 @@
 auto GrantorService::receive(const NodeId &from, const std::string &payload) -> void
 {
     try {
-        std::visit([&](const auto &it) { take(from, it); }, quota::readMessage(payload));
+        std::visit([&](const auto &it) { process(from, it); }, quota::readMessage(payload));
     } catch (const InputError &error) {
         log::Line(log::Severity::Warning, "quota-message-rejected")
                 .add("from", from)
@@ -35,10 +35,10 @@
     }
 }
 
-auto GrantorService::take(const NodeId &from, const quota::TokenAsk &ask) -> void
+auto GrantorService::process(const NodeId &from, const quota::TokenAsk &request) -> void
 {
-    const auto grant = answerTo(ask);
-    if (ask.wanted == 0)
+    const auto grant = grantFor(request);
+    if (request.wanted == 0)
         return; // The request only returned tokens.
     if (from == m_ownNode)
         m_didGrant(grant);
@@ -46,23 +46,23 @@
         m_send(from, quota::writeMessage(grant));
 }
 
-auto GrantorService::take(const NodeId & /*from*/, const quota::TokenGrant &grant) -> void
+auto GrantorService::process(const NodeId & /*from*/, const quota::TokenGrant &grant) -> void
 {
     m_didGrant(grant);
 }
 
-auto GrantorService::answerTo(const quota::TokenAsk &ask) -> quota::TokenGrant
+auto GrantorService::grantFor(const quota::TokenAsk &request) -> quota::TokenGrant
 {
     const auto now = monotonicNow();
-    refreshHosts(now);
+    refreshNodes(now);
     const auto configuration = *m_board.configuration.read();
-    const auto *caller = configuration ? configuration->findCaller(ask.caller) : nullptr;
+    const auto *caller = configuration ? configuration->findCaller(request.caller) : nullptr;
     if (!caller || !caller->quota)
-        return {.number = ask.number, .caller = ask.caller, .isKnown = false};
-    return m_grantor.answer(ask, *caller->quota, now);
+        return {.number = request.number, .caller = request.caller, .isKnown = false};
+    return m_grantor.answer(request, *caller->quota, now);
 }
 
-auto GrantorService::refreshHosts(TimePoint now) -> void
+auto GrantorService::refreshNodes(TimePoint now) -> void
 {
     const auto generation = m_board.members.generation();
     if (generation == m_membersGeneration)
--- a/source/node/GrantorService.h
+++ b/source/node/GrantorService.h
@@ -29,10 +29,10 @@
     auto receive(const NodeId &from, const std::string &payload) -> void;
 
 private:
-    auto take(const NodeId &from, const quota::TokenAsk &ask) -> void;
-    auto take(const NodeId &from, const quota::TokenGrant &grant) -> void;
-    auto answerTo(const quota::TokenAsk &ask) -> quota::TokenGrant;
-    auto refreshHosts(TimePoint now) -> void;
+    auto process(const NodeId &from, const quota::TokenAsk &request) -> void;
+    auto process(const NodeId &from, const quota::TokenGrant &grant) -> void;
+    auto grantFor(const quota::TokenAsk &request) -> quota::TokenGrant;
+    auto refreshNodes(TimePoint now) -> void;
 
     const NodeBoard &m_board;
     NodeId m_ownNode;
--- a/source/node/LivenessHistory.cpp
+++ b/source/node/LivenessHistory.cpp
@@ -10,9 +10,11 @@
     for (const auto &it : view.members) {
         if (it.liveness == membership::Liveness::Alive)
             continue;
-        const auto known = m_judgements.find(it.node);
-        const auto isOld = known != m_judgements.end() && known->second.liveness == it.liveness;
-        judgements.emplace(it.node, Judgement{it.liveness, isOld ? known->second.since : now});
+        const auto previous = m_judgements.find(it.node);
+        const auto isUnchanged =
+                previous != m_judgements.end() && previous->second.liveness == it.liveness;
+        judgements.emplace(it.node,
+                           Judgement{it.liveness, isUnchanged ? previous->second.since : now});
     }
     m_judgements = std::move(judgements);
 }
--- a/source/node/Node.cpp
+++ b/source/node/Node.cpp
@@ -51,16 +51,17 @@
 Node::Node(const NodeSettings &settings, const NodeAdapter &adapter)
     : m_settings(settings)
     , m_adapter(adapter)
-    , m_start(membership::startIncarnation())
+    , m_incarnation(membership::startIncarnation())
     , m_entryPeers(m_entryThread.io(), peerSettings(settings))
     , m_peerServer(m_gateThread.io(), settings.hostAddress, settings.peerPort,
                    peerSettings(settings))
     , m_entry(
-              m_entryThread.io(), m_settings, m_board, m_running, m_metrics, m_entryPeers, m_start,
-              seed(), [this](const auto &to, const auto &payload) { askForTokens(to, payload); },
+              m_entryThread.io(), m_settings, m_board, m_running, m_metrics, m_entryPeers,
+              m_incarnation, seed(),
+              [this](const auto &to, const auto &payload) { askForTokens(to, payload); },
               protocol())
     , m_quarantine(m_gateThread.io(), m_board, m_settings.nodeId(), seed(),
-                   [this](const auto &to, const auto &payload) { tellGate(to, payload); })
+                   [this](const auto &to, const auto &payload) { sendToGate(to, payload); })
     , m_gate(m_gateThread.io(), m_board, m_running, m_metrics, m_callIds, m_quarantine, seed(),
              protocol())
     , m_entryServer(m_entryThread.io(), entryServerSettings(settings),
@@ -74,14 +75,15 @@
 {
     m_entryPeers.setSilenceObserver([this] { didFindSilence(); });
     m_controlPlane = std::make_unique<ControlPlane>(m_control.io(), m_settings, m_adapter, m_board,
-                                                    m_metrics, handlers(), m_start, seed());
+                                                    m_metrics, handlers(), m_incarnation, seed());
     // A platform with its own call protocol sends no idempotency keys.
     if (settings.store.empty() || m_adapter.calls)
         return;
     m_keyedGate.emplace(
-            m_gateThread.io(), m_settings, m_board, keyed::Replica{settings.nodeId(), m_start},
+            m_gateThread.io(), m_settings, m_board,
+            keyed::Replica{settings.nodeId(), m_incarnation},
             [this](auto request, auto cancellation) {
-                return placeBoundCall(std::move(request), std::move(cancellation));
+                return runBoundCall(std::move(request), std::move(cancellation));
             },
             seed());
     m_keyedGate->setSilenceObserver([this] { didFindSilence(); });
@@ -184,7 +186,7 @@
 }
 
 /// Moves a datagram from the gate's thread to the control thread, which owns the datagram channel.
-auto Node::tellGate(const NodeId &to, const std::string &payload) -> void
+auto Node::sendToGate(const NodeId &to, const std::string &payload) -> void
 {
     asio::post(m_control.io(), [this, to, payload] { m_controlPlane->sendToGate(to, payload); });
 }
@@ -210,7 +212,7 @@
 
 /// Runs a call, whose key is bound to this node, at any upstream of its service. Called on the gate's thread; the call runs
 /// on the entry's thread.
-auto Node::placeBoundCall(transport::CallRequest request, transport::CancellationPtr cancellation)
+auto Node::runBoundCall(transport::CallRequest request, transport::CancellationPtr cancellation)
         -> transport::Task<transport::CallAnswer>
 {
     auto &entryIo = m_entryThread.io();
@@ -254,26 +256,26 @@
             if (!ec)
                 finishDrain(false);
         });
-        stopTakingCallers();
+        stopAcceptingCallers();
     });
 }
 
 /// Makes the node unready and continues to serve requests for the stop notice, in which callers choose other nodes.
-auto Node::stopTakingCallers() -> void
+auto Node::stopAcceptingCallers() -> void
 {
     if (m_settings.stopNotice <= Duration::zero()) {
-        stopTakingWork();
+        stopAcceptingCalls();
         return;
     }
     asio::post(m_entryThread.io(), [this] { m_entryServer.startClosing(); });
     m_noticeTimer.expires_after(m_settings.stopNotice);
     m_noticeTimer.async_wait([this](const boost::system::error_code &ec) {
         if (!ec)
-            stopTakingWork();
+            stopAcceptingCalls();
     });
 }
 
-auto Node::stopTakingWork() -> void
+auto Node::stopAcceptingCalls() -> void
 {
     m_controlPlane->announceDraining();
     drainGate();
@@ -287,7 +289,7 @@
 /// Hands the keyed slots over while the entry still runs the calls whose keys are bound here. Runs on the gate's thread.
 auto Node::drainKeys() -> void
 {
-    auto didFinish = [this](bool /*isWhole*/) {
+    auto didFinish = [this](bool /*isComplete*/) {
         asio::post(m_control.io(), [this] { drainEntry(); });
     };
     if (m_keyedGate)
@@ -327,23 +329,23 @@
         finishDrain(true);
 }
 
-auto Node::finishDrain(bool isWhole) -> void
+auto Node::finishDrain(bool isComplete) -> void
 {
     if (std::exchange(m_isStopped, true))
         return;
     m_drainTimer.cancel();
-    log::Line(isWhole ? log::Severity::Info : log::Severity::Warning, "drain-finished")
-            .add("whole", isWhole);
-    m_stopped.set_value(isWhole);
+    log::Line(isComplete ? log::Severity::Info : log::Severity::Warning, "drain-finished")
+            .add("whole", isComplete);
+    m_stopped.set_value(isComplete);
 }
 
 auto Node::waitUntilStopped() -> bool
 {
-    const auto isWhole = m_stopped.get_future().get();
+    const auto isComplete = m_stopped.get_future().get();
     m_control.stop();
     m_entryThread.stop();
     m_gateThread.stop();
-    return isWhole;
+    return isComplete;
 }
 
 /// Reads the settings again on each SIGHUP. Without a settings file SIGHUP has no effect; it never ends the process.
@@ -385,9 +387,9 @@
             node.startDrain(number == SIGTERM ? "sigterm" : "sigint");
     });
     signals.start();
-    const auto isWhole = node.waitUntilStopped();
+    const auto isComplete = node.waitUntilStopped();
     signals.stop();
-    return isWhole ? 0 : DrainTimedOut;
+    return isComplete ? 0 : DrainTimedOut;
 }
 
 } // namespace stairspur::node
--- a/source/node/Node.h
+++ b/source/node/Node.h
@@ -50,26 +50,26 @@
     auto didChangeConfiguration() -> void;
     auto didFindSilence() -> void;
     auto setIngressLimits(const config::IngressLimits &limits) -> void;
-    auto stopTakingCallers() -> void;
-    auto stopTakingWork() -> void;
+    auto stopAcceptingCallers() -> void;
+    auto stopAcceptingCalls() -> void;
     auto publishEntryState() -> void;
     auto publishGateState() -> void;
     auto handleCall(transport::CallRequest request, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
-    auto placeBoundCall(transport::CallRequest request, transport::CancellationPtr cancellation)
+    auto runBoundCall(transport::CallRequest request, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
     auto drainGate() -> void;
     auto drainKeys() -> void;
     auto drainEntry() -> void;
     auto drainPeers() -> void;
-    auto tellGate(const NodeId &to, const std::string &payload) -> void;
+    auto sendToGate(const NodeId &to, const std::string &payload) -> void;
     auto askForTokens(const NodeId &grantor, const std::string &payload) -> void;
     auto finishDrainIfDone() -> void;
-    auto finishDrain(bool isWhole) -> void;
+    auto finishDrain(bool isComplete) -> void;
 
     NodeSettings m_settings;
     NodeAdapter m_adapter;
-    Incarnation m_start; ///< Incarnation of this process.
+    Incarnation m_incarnation; ///< Incarnation of this process.
     NodeBoard m_board;
     NodeMetrics m_metrics;
     RunningCalls m_running;
--- a/source/node/ProcessUsage.cpp
+++ b/source/node/ProcessUsage.cpp
@@ -12,7 +12,7 @@
 /// Number of fields in /proc/self/stat between the command's name and the ticks in user mode.
 static constexpr auto FieldsBeforeTicks = 11;
 
-static auto readWhole(const char *path) -> std::string
+static auto readFile(const char *path) -> std::string
 {
     auto file = std::ifstream(path);
     return {std::istreambuf_iterator<char>(file), {}};
@@ -45,7 +45,7 @@
 
 auto readProcessUsage() -> ProcessUsage
 {
-    return parseProcessUsage(readWhole("/proc/self/stat"), readWhole("/proc/self/statm"),
+    return parseProcessUsage(readFile("/proc/self/stat"), readFile("/proc/self/statm"),
                              ::sysconf(_SC_CLK_TCK), ::sysconf(_SC_PAGESIZE));
 }
 
--- a/source/node/QuarantineArchive.cpp
+++ b/source/node/QuarantineArchive.cpp
@@ -20,10 +20,10 @@
 /// within this time may expire.
 static constexpr auto KeyLifetime = Duration{600'000'000};
 /// Time between two attempts at a failing store. One node writes each record, so no backoff is needed.
-static constexpr auto RetryPause = Duration{1'000'000};
+static constexpr auto RetryInterval = Duration{1'000'000};
 /// Number of attempts before an operation is given up. The nodes have the decision in memory; only a restart of all of them
 /// would need the key.
-static constexpr auto MostTries = 300;
+static constexpr auto MaxAttempts = 300;
 
 QuarantineArchive::QuarantineArchive(asio::io_context &io, store::AnyStore &store, Restore restore)
     : m_io(io)
@@ -47,7 +47,7 @@
 auto QuarantineArchive::load() -> Task<void>
 {
     const auto keys = prefix();
-    for (auto n = 0; n < MostTries; ++n) {
+    for (auto n = 0; n < MaxAttempts; ++n) {
         auto request = store::RangeRequest{keys, store::endOfPrefix(keys)};
         // Decisions of the last seconds come from the peers that made them.
         request.mayBeStale = true;
@@ -57,14 +57,14 @@
                 m_restore(it.value);
             co_return;
         }
-        co_await sleep(RetryPause);
+        co_await sleep(RetryInterval);
     }
 }
 
 auto QuarantineArchive::save(const std::string &name, const std::string &saved) -> void
 {
-    const auto isBeingWritten = m_unsaved.contains(name);
-    m_unsaved[name] = saved;
+    const auto isBeingWritten = m_pendingRecords.contains(name);
+    m_pendingRecords[name] = saved;
     if (!isBeingWritten)
         asio::co_spawn(m_io, writeUntilDone(name), asio::detached);
 }
@@ -72,15 +72,15 @@
 auto QuarantineArchive::writeUntilDone(std::string name) -> Task<void>
 {
     const auto key = prefix() + name;
-    for (auto n = 0; n < MostTries; ++n) {
-        const auto saved = m_unsaved.at(name);
+    for (auto n = 0; n < MaxAttempts; ++n) {
+        const auto saved = m_pendingRecords.at(name);
         const auto isDone = saved.empty() ? co_await remove(key) : co_await write(key, saved);
-        if (isDone && m_unsaved.at(name) == saved)
+        if (isDone && m_pendingRecords.at(name) == saved)
             break;
         if (!isDone)
-            co_await sleep(RetryPause);
+            co_await sleep(RetryInterval);
     }
-    m_unsaved.erase(name);
+    m_pendingRecords.erase(name);
 }
 
 auto QuarantineArchive::write(const std::string &key, const std::string &saved) -> Task<bool>
--- a/source/node/QuarantineArchive.h
+++ b/source/node/QuarantineArchive.h
@@ -43,7 +43,8 @@
     store::AnyStore &m_store;
     Restore m_restore;
     std::string m_service;
-    std::map<std::string, std::string> m_unsaved; ///< Records that are being written, by name.
+    std::map<std::string, std::string>
+            m_pendingRecords; ///< Records that are being written, by name.
 };
 
 } // namespace stairspur::node
--- a/source/node/QuarantineKeeper.cpp
+++ b/source/node/QuarantineKeeper.cpp
@@ -153,7 +153,7 @@
         m_send(it.to, it.payload);
     const auto events = m_state.takeEvents();
     for (const auto &it : events)
-        report(it);
+        handleEvent(it);
     if (!events.empty())
         publishEntries();
 }
@@ -165,7 +165,7 @@
     m_board.quarantine.publish(std::move(entries));
 }
 
-auto QuarantineKeeper::report(const quarantine::QuarantineEvent &event) -> void
+auto QuarantineKeeper::handleEvent(const quarantine::QuarantineEvent &event) -> void
 {
     const auto severity = event.change == QuarantineChange::Refused ? log::Severity::Warning
                                                                     : log::Severity::Info;
--- a/source/node/QuarantineKeeper.h
+++ b/source/node/QuarantineKeeper.h
@@ -59,7 +59,7 @@
     auto tick() -> void;
     auto flush() -> void;
     auto publishEntries() -> void;
-    auto report(const quarantine::QuarantineEvent &event) -> void;
+    auto handleEvent(const quarantine::QuarantineEvent &event) -> void;
 
     NodeBoard &m_board;
     NodeId m_node;
--- a/source/node/RendezvousKeeper.cpp
+++ b/source/node/RendezvousKeeper.cpp
@@ -18,12 +18,12 @@
 using transport::Task;
 
 static constexpr auto AllDomainsPrefix = std::string_view("/stairspur/rendezvous/");
-static constexpr auto MaxLookDelay = Duration{600'000'000};
+static constexpr auto MaxSearchDelay = Duration{600'000'000};
 /// Longest and shortest time between two checks for a due action.
-static constexpr auto LongestPause = Duration{200'000};
-static constexpr auto ShortestPause = Duration{1'000};
+static constexpr auto MaxPause = Duration{200'000};
+static constexpr auto MinPause = Duration{1'000};
 
-static auto withSpread(Duration claimSpread) -> membership::RendezvousSettings
+static auto settingsWithSpread(Duration claimSpread) -> membership::RendezvousSettings
 {
     auto settings = membership::RendezvousSettings();
     settings.claimSpread = claimSpread;
@@ -38,7 +38,7 @@
     , m_ownNode(std::move(ownNode))
     , m_prefix(std::string(AllDomainsPrefix) + std::move(domain) + "/")
     , m_didRead(std::move(didRead))
-    , m_settings(withSpread(claimSpread))
+    , m_settings(settingsWithSpread(claimSpread))
     , m_slots(m_settings, seed, monotonicNow())
     , m_timer(io)
 {}
@@ -58,9 +58,9 @@
 {
     while (true) {
         co_await step();
-        co_await lookForOtherDomains();
+        co_await searchOtherDomains();
         auto ec = boost::system::error_code();
-        m_timer.expires_after(pause());
+        m_timer.expires_after(timeUntilNextStep());
         co_await m_timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
     }
 }
@@ -68,10 +68,10 @@
 /// Returns the time until the next action, with a resolution of a millisecond. The random delays prevent that the
 /// nodes of a failure domain which start at once all claim its three keys at once. With a resolution of 200 ms, 194 hosts
 /// made 161 claims for 15 keys within a second, and each claim is three writes.
-auto RendezvousKeeper::pause() const -> Duration
+auto RendezvousKeeper::timeUntilNextStep() const -> Duration
 {
-    const auto due = m_knowsOtherDomains ? m_slots.due() : std::min(m_slots.due(), m_nextLook);
-    return std::clamp(due - monotonicNow(), ShortestPause, LongestPause);
+    const auto due = m_hasSeenOtherDomains ? m_slots.due() : std::min(m_slots.due(), m_nextSearch);
+    return std::clamp(due - monotonicNow(), MinPause, MaxPause);
 }
 
 auto RendezvousKeeper::step() -> Task<void>
@@ -114,10 +114,10 @@
     const auto answer = co_await m_store.range(std::move(request));
     if (!answer.isOk())
         co_return false;
-    m_nextLook = std::max(m_nextLook, monotonicNow() + m_lookDelay);
+    m_nextSearch = std::max(m_nextSearch, monotonicNow() + m_searchDelay);
     const auto keys = readRendezvousKeys(answer.value.pairs, m_prefix, m_settings.slots);
     m_holders = keys.holders;
-    m_knowsOtherDomains = m_knowsOtherDomains || keys.hasOtherDomains;
+    m_hasSeenOtherDomains = m_hasSeenOtherDomains || keys.hasOtherDomains;
     if (keys.ignored != m_ignoredKeys)
         log::Line(log::Severity::Warning, "rendezvous-keys-ignored")
                 .add("prefix", prefix)
@@ -130,13 +130,13 @@
 
 /// Reads the keys again until another domain is found. All domains may start at once, and their keys exist only after they
 /// have been claimed.
-auto RendezvousKeeper::lookForOtherDomains() -> Task<void>
+auto RendezvousKeeper::searchOtherDomains() -> Task<void>
 {
     const auto now = monotonicNow();
-    if (m_knowsOtherDomains || now < m_nextLook)
+    if (m_hasSeenOtherDomains || now < m_nextSearch)
         co_return;
-    m_nextLook = now + m_lookDelay;
-    m_lookDelay = std::min(m_lookDelay * 2, MaxLookDelay);
+    m_nextSearch = now + m_searchDelay;
+    m_searchDelay = std::min(m_searchDelay * 2, MaxSearchDelay);
     co_await readHolders();
 }
 
--- a/source/node/RendezvousKeeper.h
+++ b/source/node/RendezvousKeeper.h
@@ -35,10 +35,10 @@
 private:
     auto run() -> transport::Task<void>;
     auto step() -> transport::Task<void>;
-    [[nodiscard]] auto pause() const -> Duration;
+    [[nodiscard]] auto timeUntilNextStep() const -> Duration;
     auto read() -> transport::Task<void>;
     auto readHolders() -> transport::Task<bool>;
-    auto lookForOtherDomains() -> transport::Task<void>;
+    auto searchOtherDomains() -> transport::Task<void>;
     auto claim() -> transport::Task<void>;
     auto renew() -> transport::Task<void>;
     [[nodiscard]] auto keyOf(std::uint32_t slot) const -> std::string;
@@ -55,9 +55,9 @@
             m_holders;               ///< Holders of the own domain's slots at the last read.
     std::uint32_t m_ignoredKeys = 0; ///< Number of invalid keys at the last read.
     bool m_didLoseClaim = false;     ///< Another node's key existed, so the last read was stale.
-    bool m_knowsOtherDomains = false;
-    TimePoint m_nextLook;
-    Duration m_lookDelay{250'000}; ///< Doubles with each search that finds none.
+    bool m_hasSeenOtherDomains = false;
+    TimePoint m_nextSearch;
+    Duration m_searchDelay{250'000}; ///< Doubles with each search that finds none.
 
     transport::Timer m_timer;
 };
--- a/source/node/StatusReport.cpp
+++ b/source/node/StatusReport.cpp
@@ -10,14 +10,15 @@
 
 /// Returns the number of nodes of each failure domain by configuration version in force, including this node.
 static auto versionsByDomain(const NodeSettings &settings, const NodeBoard &board,
-                             const HeardVersions &heard, std::uint64_t ownVersion) -> nlohmann::json
+                             const HeardVersions &reported, std::uint64_t ownVersion)
+        -> nlohmann::json
 {
     auto counts = std::map<std::string, std::map<std::string, std::uint64_t>>();
     counts[settings.failureDomain][std::to_string(ownVersion)] = 1;
     const auto view = board.members.read();
     for (const auto &it : view->members) {
-        const auto found = heard.find(it.node);
-        if (it.node != settings.nodeId() && found != heard.end())
+        const auto found = reported.find(it.node);
+        if (it.node != settings.nodeId() && found != reported.end())
             ++counts[it.domain][std::to_string(found->second.version)];
     }
     return counts;
@@ -35,14 +36,14 @@
 }
 
 static auto configurationReport(const NodeSettings &settings, const NodeBoard &board,
-                                const HeardVersions &heard, TimePoint now) -> nlohmann::json
+                                const HeardVersions &reported, TimePoint now) -> nlohmann::json
 {
     const auto index = *board.configuration.read();
     const auto version = index ? index->configuration()->version : 0;
     return {
             {"version", version},
             {"hash", index ? index->configuration()->hash : std::string()},
-            {"domains", versionsByDomain(settings, board, heard, version)},
+            {"domains", versionsByDomain(settings, board, reported, version)},
             {"provenSecondsAgo", toSeconds(board.configurationProof.read()->age(now))},
     };
 }
@@ -68,25 +69,25 @@
     };
 }
 
-static auto domainReports(const membership::MembershipView &view, const HeardVersions &heard,
+static auto domainReports(const membership::MembershipView &view, const HeardVersions &reported,
                           const NodeId &self) -> nlohmann::json
 {
     auto reports = nlohmann::json::array();
-    for (const auto &[name, summary] : summarizeDomains(view, heard, self))
+    for (const auto &[name, summary] : summarizeDomains(view, reported, self))
         reports.push_back(domainReport(name, summary));
     return reports;
 }
 
 /// Returns the time since the latest report of the node itself; null if there is no recent one, as for most nodes of other
 /// failure domains, whose records arrive through relays.
-static auto heardSecondsAgo(const HeardVersions &heard, const NodeId &node) -> nlohmann::json
+static auto secondsSinceReport(const HeardVersions &reported, const NodeId &node) -> nlohmann::json
 {
-    const auto it = heard.find(node);
-    return it == heard.end() ? nlohmann::json() : nlohmann::json(toSeconds(it->second.age));
+    const auto it = reported.find(node);
+    return it == reported.end() ? nlohmann::json() : nlohmann::json(toSeconds(it->second.age));
 }
 
 /// Returns how long the node has been suspect or dead; null while it is alive.
-static auto judgedSecondsAgo(const LivenessHistory &history, const NodeId &node, TimePoint now)
+static auto secondsSinceJudgement(const LivenessHistory &history, const NodeId &node, TimePoint now)
         -> nlohmann::json
 {
     const auto since = history.since(node);
@@ -95,7 +96,7 @@
     return toSeconds(std::chrono::duration_cast<Duration>(now - *since));
 }
 
-static auto memberReport(const membership::Member &member, const HeardVersions &heard,
+static auto memberReport(const membership::Member &member, const HeardVersions &reported,
                          const LivenessHistory &history, TimePoint now) -> nlohmann::json
 {
     return {
@@ -106,8 +107,8 @@
             {"state", nameOf(member.state)},
             {"liveness", nameOf(member.liveness)},
             {"slots", member.slots},
-            {"heardSecondsAgo", heardSecondsAgo(heard, member.node)},
-            {"judgedSecondsAgo", judgedSecondsAgo(history, member.node, now)},
+            {"heardSecondsAgo", secondsSinceReport(reported, member.node)},
+            {"judgedSecondsAgo", secondsSinceJudgement(history, member.node, now)},
     };
 }
 
@@ -124,20 +125,21 @@
     return reports;
 }
 
-auto statusReport(const NodeSettings &settings, const NodeBoard &board, const HeardVersions &heard,
-                  const LivenessHistory &history, TimePoint now) -> std::string
+auto statusReport(const NodeSettings &settings, const NodeBoard &board,
+                  const HeardVersions &reported, const LivenessHistory &history, TimePoint now)
+        -> std::string
 {
     auto members = nlohmann::json::array();
     const auto view = board.members.read();
     for (const auto &it : view->members)
-        members.push_back(memberReport(it, heard, history, now));
+        members.push_back(memberReport(it, reported, history, now));
     const auto report = nlohmann::json{
             {"node", settings.nodeId()},
             {"failureDomain", settings.failureDomain},
             {"state", nameOf(*board.stage.read())},
-            {"configuration", configurationReport(settings, board, heard, now)},
+            {"configuration", configurationReport(settings, board, reported, now)},
             {"backend", backendReport(*board.backend.read())},
-            {"domains", domainReports(*view, heard, settings.nodeId())},
+            {"domains", domainReports(*view, reported, settings.nodeId())},
             {"quarantine", quarantineReport(board)},
             {"members", std::move(members)},
     };
--- a/source/node/VersionsHeard.cpp
+++ b/source/node/VersionsHeard.cpp
@@ -12,20 +12,22 @@
     if (digest.empty())
         return;
     try {
-        m_heard[node] = {distribution::decodeDigest(digest).version, now};
+        m_reports[node] = {distribution::decodeDigest(digest).version, now};
     } catch (const InputError &) {
         return; // The distribution counts malformed digests.
     }
-    std::erase_if(m_heard, [now](const auto &it) { return now - it.second.at > Retention; });
+    std::erase_if(m_reports,
+                  [now](const auto &it) { return now - it.second.receivedAt > Retention; });
 }
 
 auto VersionsHeard::recent(TimePoint now) const -> HeardVersions
 {
     auto versions = HeardVersions();
-    for (const auto &[node, heard] : m_heard) {
-        if (now - heard.at <= Retention)
-            versions.emplace(node, HeardVersion{heard.version, std::chrono::duration_cast<Duration>(
-                                                                       now - heard.at)});
+    for (const auto &[node, report] : m_reports) {
+        if (now - report.receivedAt <= Retention)
+            versions.emplace(node,
+                             HeardVersion{report.version, std::chrono::duration_cast<Duration>(
+                                                                  now - report.receivedAt)});
     }
     return versions;
 }
--- a/source/node/VersionsHeard.h
+++ b/source/node/VersionsHeard.h
@@ -33,13 +33,13 @@
     [[nodiscard]] auto recent(TimePoint now) const -> HeardVersions;
 
 private:
-    struct Heard
+    struct Report
     {
         std::uint64_t version = 0;
-        TimePoint at;
+        TimePoint receivedAt;
     };
 
-    std::map<NodeId, Heard> m_heard;
+    std::map<NodeId, Report> m_reports;
 };
 
 } // namespace stairspur::node
--- a/tests/node/TestStatusReport.cpp
+++ b/tests/node/TestStatusReport.cpp
@@ -59,14 +59,14 @@
 
 Test(DomainSummary, countsMembersAndTakesTheLatestReport)
 {
-    const auto heard = HeardVersions{
+    const auto reported = HeardVersions{
             {"self", {1, Duration{1}}}, {"a", {1, Duration{500}}}, {"b", {1, Duration{300}}}};
     const auto view = membership::MembershipView{
             {member("self", "d", Liveness::Alive), member("a", "d", Liveness::Suspect),
              member("b", "d", Liveness::Alive, ServingState::Draining),
              member("c", "d", Liveness::Dead, ServingState::Left),
              member("x", "e", Liveness::Alive, ServingState::Starting)}};
-    const auto domains = summarizeDomains(view, heard, "self");
+    const auto domains = summarizeDomains(view, reported, "self");
     const auto &own = domains.at("d");
     cr_assert_eq(own.alive, 2);
     cr_assert_eq(own.suspect, 1);
@@ -104,9 +104,9 @@
     board.members.publish(view);
     auto history = LivenessHistory();
     history.didSee(view, TimePoint(std::chrono::seconds(10)));
-    const auto heard = HeardVersions{{"a", {7, Duration{1'500'000}}}};
+    const auto reported = HeardVersions{{"a", {7, Duration{1'500'000}}}};
     const auto report = nlohmann::json::parse(
-            statusReport(settings, board, heard, history, TimePoint(std::chrono::seconds(14))));
+            statusReport(settings, board, reported, history, TimePoint(std::chrono::seconds(14))));
     const auto &members = report.at("members");
     cr_assert_eq(members[0].at("heardSecondsAgo"), 1.5);
     cr_assert(members[0].at("judgedSecondsAgo").is_null());
