--- a/source/node/FloorTeller.cpp
+++ b/source/node/DeeperFloorReporter.cpp
@@ -1,4 +1,4 @@
-#include "FloorTeller.h"
+#include "DeeperFloorReporter.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,15 +10,15 @@
 /// Time after which unchanged floors are published again. Floors that are not confirmed expire after a second.
 static constexpr auto FloorConfirmInterval = Duration{250'000};
 
-FloorTeller::FloorTeller(boost::asio::io_context &io, NodeBoard &board,
-                         const ObservedCalls &observedCalls, FloorAt floorAt)
+DeeperFloorReporter::DeeperFloorReporter(boost::asio::io_context &io, NodeBoard &board,
+                                         const ObservedCalls &observedCalls, FloorAt floorAt)
     : m_board(board)
     , m_observedCalls(observedCalls)
     , m_floorAt(std::move(floorAt))
     , m_timer(io)
 {}
 
-auto FloorTeller::refresh(TimePoint now) -> void
+auto DeeperFloorReporter::refresh(TimePoint now) -> void
 {
     if (now - m_refreshedAt < FloorInterval)
         return;
@@ -28,7 +28,7 @@
 }
 
 /// Starts the timer while any floor is raised, so that floors can fall even when no call ends.
-auto FloorTeller::ensureTimer() -> void
+auto DeeperFloorReporter::ensureTimer() -> void
 {
     const auto isRaised = [](Level it) { return it > LowestLevel; };
     const auto isRankRaised = std::ranges::any_of(m_published.byRank, isRaised);
@@ -43,7 +43,7 @@
     });
 }
 
-auto FloorTeller::publishFloors(TimePoint now) -> void
+auto DeeperFloorReporter::publishFloors(TimePoint now) -> void
 {
     const auto configuration = *m_board.configuration.read();
     const auto service = m_board.backend.read()->service;
@@ -58,8 +58,8 @@
 }
 
 /// Returns the floor of each class, from the call paths in the configuration.
-auto FloorTeller::floorsByRank(const config::ConfigurationIndex &configuration,
-                               const std::string &service, TimePoint now) const
+auto DeeperFloorReporter::floorsByRank(const config::ConfigurationIndex &configuration,
+                                       const std::string &service, TimePoint now) const
         -> std::vector<Level>
 {
     auto floors = std::vector<Level>();
@@ -73,7 +73,7 @@
 }
 
 /// Returns the floors of the paths of the observed calls. Paths without a floor are omitted.
-auto FloorTeller::floorsByPath(TimePoint now) const -> std::vector<PathFloor>
+auto DeeperFloorReporter::floorsByPath(TimePoint now) const -> std::vector<PathFloor>
 {
     auto floors = std::vector<PathFloor>();
     for (const auto &it : m_observedCalls.paths(now)) {
--- a/source/node/FloorTeller.h
+++ b/source/node/DeeperFloorReporter.h
@@ -15,14 +15,14 @@
 
 /// Publishes to the gate the floors that calls of this host's backend server encounter at deeper services, so that the gate
 /// can advertise them. Belongs to the entry's thread.
-class FloorTeller
+class DeeperFloorReporter
 {
 public:
     /// Returns the floor of a deeper service for calls of class `rank`, as recorded in the entry's upstream pools.
     using FloorAt = std::function<Level(const DeeperCall &call, ClassRank rank, TimePoint now)>;
 
-    FloorTeller(boost::asio::io_context &io, NodeBoard &board, const ObservedCalls &observedCalls,
-                FloorAt floorAt);
+    DeeperFloorReporter(boost::asio::io_context &io, NodeBoard &board,
+                        const ObservedCalls &observedCalls, FloorAt floorAt);
 
     /// Publishes the floors if the interval has passed. Called when a call ends, since only the outcomes of calls change the
     /// floors. A timer would wake an idle node fifty times a second to no effect.
--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -35,10 +35,10 @@
     , m_random(seed)
     , m_callers(io, settings, board, seed + 2, std::move(askForTokens))
     , m_routes(settings, board)
-    , m_floorTeller(io, board, m_observedCalls,
-                    [this](const auto &call, auto rank, auto now) {
-                        return m_routes.floorAt(call, rank, now);
-                    })
+    , m_floorReporter(io, board, m_observedCalls,
+                      [this](const auto &call, auto rank, auto now) {
+                          return m_routes.floorAt(call, rank, now);
+                      })
     , m_protocol(protocol)
 {
     m_peers.setLinkObserver([this](const NodeId &node, bool isReachable) {
@@ -80,7 +80,7 @@
     auto answer = co_await route(std::move(call), std::move(cancellation));
     if (answer.outcome == Outcome::NotRun)
         m_callers.didNotRun(caller, verdict);
-    m_floorTeller.refresh(monotonicNow());
+    m_floorReporter.refresh(monotonicNow());
     m_metrics.didAnswerAtEntry(className, answer.outcome, monotonicNow() - start);
     co_return m_protocol ? m_protocol->writeAnswer(std::move(answer), attemptId)
                          : responseFor(std::move(answer));
--- a/source/node/Entry.h
+++ b/source/node/Entry.h
@@ -20,7 +20,7 @@
 
 #include "CallIntake.h"
 #include "CallerAdmission.h"
-#include "FloorTeller.h"
+#include "DeeperFloorReporter.h"
 #include "NodeBoard.h"
 #include "NodeMetrics.h"
 #include "ObservedCalls.h"
@@ -123,7 +123,7 @@
     CallerAdmission m_callers;
     ServiceRouteTable m_routes;
     ObservedCalls m_observedCalls;
-    FloorTeller m_floorTeller;
+    DeeperFloorReporter m_floorReporter;
     const CallProtocol *m_protocol; ///< Null: the product's own.
 };
 
