--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -147,7 +147,7 @@
                            std::move(parts), seed);
     m_membership.setAnnotationCallback([this](const NodeId &from, const std::string &bytes) {
         m_distribution->didHearDigest(from, bytes);
-        m_versionsHeard.didHear(from, bytes, monotonicNow());
+        m_reportedVersions.didReceive(from, bytes, monotonicNow());
     });
 }
 
@@ -369,7 +369,8 @@
 auto ControlPlane::renderStatus() const -> std::string
 {
     const auto now = monotonicNow();
-    return statusReport(m_settings, m_board, m_versionsHeard.recent(now), m_livenessHistory, now);
+    return statusReport(m_settings, m_board, m_reportedVersions.recent(now), m_livenessHistory,
+                        now);
 }
 
 auto ControlPlane::renderMetrics() const -> std::string
--- a/source/node/ControlPlane.h
+++ b/source/node/ControlPlane.h
@@ -30,7 +30,7 @@
 #include "NodeMetrics.h"
 #include "QuarantineArchive.h"
 #include "RendezvousKeeper.h"
-#include "VersionsHeard.h"
+#include "ReportedVersions.h"
 
 namespace stairspur::node {
 
@@ -134,7 +134,7 @@
     std::set<std::string> m_servicesOfInterest;
     std::optional<distribution::DistributionService> m_distribution;
     bool m_wasProofFresh = false; ///< The value last logged.
-    VersionsHeard m_versionsHeard;
+    ReportedVersions m_reportedVersions;
     LivenessHistory m_livenessHistory;
     GrantorService m_grantor;
     membership::BackendAnnouncements m_announcements;
--- a/source/node/DomainSummary.cpp
+++ b/source/node/DomainSummary.cpp
@@ -40,7 +40,7 @@
     }
 }
 
-auto summarizeDomains(const membership::MembershipView &view, const HeardVersions &reported,
+auto summarizeDomains(const membership::MembershipView &view, const ReportedVersionMap &reported,
                       const NodeId &self) -> std::map<std::string, DomainSummary>
 {
     auto domains = std::map<std::string, DomainSummary>();
--- a/source/node/DomainSummary.h
+++ b/source/node/DomainSummary.h
@@ -9,7 +9,7 @@
 #include <stairspur/core/Time.h>
 #include <stairspur/membership/Member.h>
 
-#include "VersionsHeard.h"
+#include "ReportedVersions.h"
 
 namespace stairspur::node {
 
@@ -32,7 +32,7 @@
 
 /// Returns the summaries of all failure domains in `view`, by name, from the viewpoint of the node `self`. `reported`: the
 /// versions that other nodes have reported recently.
-auto summarizeDomains(const membership::MembershipView &view, const HeardVersions &reported,
+auto summarizeDomains(const membership::MembershipView &view, const ReportedVersionMap &reported,
                       const NodeId &self) -> std::map<std::string, DomainSummary>;
 
 } // namespace stairspur::node
--- a/source/node/VersionsHeard.cpp
+++ b/source/node/ReportedVersions.cpp
@@ -1,4 +1,4 @@
-#include "VersionsHeard.h"
+#include "ReportedVersions.h"
 
 #include <stairspur/core/Error.h>
 #include <stairspur/distribution/Digest.h>
@@ -7,7 +7,8 @@
 
 static constexpr auto Retention = std::chrono::minutes(10);
 
-auto VersionsHeard::didHear(const NodeId &node, std::string_view digest, TimePoint now) -> void
+auto ReportedVersions::didReceive(const NodeId &node, std::string_view digest, TimePoint now)
+        -> void
 {
     if (digest.empty())
         return;
@@ -20,14 +21,14 @@
                   [now](const auto &it) { return now - it.second.receivedAt > Retention; });
 }
 
-auto VersionsHeard::recent(TimePoint now) const -> HeardVersions
+auto ReportedVersions::recent(TimePoint now) const -> ReportedVersionMap
 {
-    auto versions = HeardVersions();
+    auto versions = ReportedVersionMap();
     for (const auto &[node, report] : m_reports) {
         if (now - report.receivedAt <= Retention)
             versions.emplace(node,
-                             HeardVersion{report.version, std::chrono::duration_cast<Duration>(
-                                                                  now - report.receivedAt)});
+                             ReportedVersion{report.version, std::chrono::duration_cast<Duration>(
+                                                                     now - report.receivedAt)});
     }
     return versions;
 }
--- a/source/node/StatusReport.cpp
+++ b/source/node/StatusReport.cpp
@@ -10,7 +10,7 @@
 
 /// Returns the number of nodes of each failure domain by configuration version in force, including this node.
 static auto versionsByDomain(const NodeSettings &settings, const NodeBoard &board,
-                             const HeardVersions &reported, std::uint64_t ownVersion)
+                             const ReportedVersionMap &reported, std::uint64_t ownVersion)
         -> nlohmann::json
 {
     auto counts = std::map<std::string, std::map<std::string, std::uint64_t>>();
@@ -36,7 +36,7 @@
 }
 
 static auto configurationReport(const NodeSettings &settings, const NodeBoard &board,
-                                const HeardVersions &reported, TimePoint now) -> nlohmann::json
+                                const ReportedVersionMap &reported, TimePoint now) -> nlohmann::json
 {
     const auto index = *board.configuration.read();
     const auto version = index ? index->configuration()->version : 0;
@@ -69,8 +69,8 @@
     };
 }
 
-static auto domainReports(const membership::MembershipView &view, const HeardVersions &reported,
-                          const NodeId &self) -> nlohmann::json
+static auto domainReports(const membership::MembershipView &view,
+                          const ReportedVersionMap &reported, const NodeId &self) -> nlohmann::json
 {
     auto reports = nlohmann::json::array();
     for (const auto &[name, summary] : summarizeDomains(view, reported, self))
@@ -80,7 +80,8 @@
 
 /// Returns the time since the latest report of the node itself; null if there is no recent one, as for most nodes of other
 /// failure domains, whose records arrive through relays.
-static auto secondsSinceReport(const HeardVersions &reported, const NodeId &node) -> nlohmann::json
+static auto secondsSinceReport(const ReportedVersionMap &reported, const NodeId &node)
+        -> nlohmann::json
 {
     const auto it = reported.find(node);
     return it == reported.end() ? nlohmann::json() : nlohmann::json(toSeconds(it->second.age));
@@ -96,7 +97,7 @@
     return toSeconds(std::chrono::duration_cast<Duration>(now - *since));
 }
 
-static auto memberReport(const membership::Member &member, const HeardVersions &reported,
+static auto memberReport(const membership::Member &member, const ReportedVersionMap &reported,
                          const LivenessHistory &history, TimePoint now) -> nlohmann::json
 {
     return {
@@ -126,7 +127,7 @@
 }
 
 auto statusReport(const NodeSettings &settings, const NodeBoard &board,
-                  const HeardVersions &reported, const LivenessHistory &history, TimePoint now)
+                  const ReportedVersionMap &reported, const LivenessHistory &history, TimePoint now)
         -> std::string
 {
     auto members = nlohmann::json::array();
--- a/source/node/StatusReport.h
+++ b/source/node/StatusReport.h
@@ -6,14 +6,14 @@
 
 #include "LivenessHistory.h"
 #include "NodeBoard.h"
-#include "VersionsHeard.h"
+#include "ReportedVersions.h"
 
 namespace stairspur::node {
 
 /// Returns the body of `GET /status` as JSON: the state of this node, its configuration in force and its members. `reported`:
 /// the configuration versions that other nodes have reported recently; `history`: since when nodes have been suspect or dead.
 auto statusReport(const NodeSettings &settings, const NodeBoard &board,
-                  const HeardVersions &reported, const LivenessHistory &history, TimePoint now)
+                  const ReportedVersionMap &reported, const LivenessHistory &history, TimePoint now)
         -> std::string;
 
 } // namespace stairspur::node
--- a/tests/node/TestStatusReport.cpp
+++ b/tests/node/TestStatusReport.cpp
@@ -59,7 +59,7 @@
 
 Test(DomainSummary, countsMembersAndTakesTheLatestReport)
 {
-    const auto reported = HeardVersions{
+    const auto reported = ReportedVersionMap{
             {"self", {1, Duration{1}}}, {"a", {1, Duration{500}}}, {"b", {1, Duration{300}}}};
     const auto view = membership::MembershipView{
             {member("self", "d", Liveness::Alive), member("a", "d", Liveness::Suspect),
@@ -104,7 +104,7 @@
     board.members.publish(view);
     auto history = LivenessHistory();
     history.didSee(view, TimePoint(std::chrono::seconds(10)));
-    const auto reported = HeardVersions{{"a", {7, Duration{1'500'000}}}};
+    const auto reported = ReportedVersionMap{{"a", {7, Duration{1'500'000}}}};
     const auto report = nlohmann::json::parse(
             statusReport(settings, board, reported, history, TimePoint(std::chrono::seconds(14))));
     const auto &members = report.at("members");
