--- a/source/node/DeeperFloorReporter.cpp
+++ b/source/node/DeeperFloorReporter.cpp
@@ -49,7 +49,8 @@
     const auto service = m_board.backend.read()->service;
     if (!configuration || service.empty())
         return;
-    auto floors = DeeperFloorsHeard{floorsByRank(*configuration, service, now), floorsByPath(now)};
+    auto floors =
+            ReportedDeeperFloors{floorsByRank(*configuration, service, now), floorsByPath(now)};
     if (floors == m_published && now - m_publishedAt < FloorConfirmInterval)
         return;
     m_publishedAt = now;
--- a/source/node/DeeperFloorReporter.h
+++ b/source/node/DeeperFloorReporter.h
@@ -41,7 +41,7 @@
     FloorAt m_floorAt;
     transport::Timer m_timer;
     bool m_hasTimer = false;
-    DeeperFloorsHeard m_published;
+    ReportedDeeperFloors m_published;
     TimePoint m_publishedAt;
     TimePoint m_refreshedAt;
 };
--- a/source/node/NodeBoard.h
+++ b/source/node/NodeBoard.h
@@ -37,12 +37,12 @@
 }
 
 /// The floors of the services that this host's service calls, as estimated by its entry.
-struct DeeperFloorsHeard
+struct ReportedDeeperFloors
 {
     std::vector<Level> byRank;
     std::vector<PathFloor> byPath;
 
-    auto operator==(const DeeperFloorsHeard &) const -> bool = default;
+    auto operator==(const ReportedDeeperFloors &) const -> bool = default;
 };
 
 /// Stage of the node's graceful shutdown.
@@ -86,12 +86,12 @@
     /// Written by the distribution controller, after the configuration to which it refers.
     blackboard::Entry<ConfigurationProof> configurationProof;
     blackboard::Entry<membership::MembershipView>
-            members;                                   ///< Written by the membership controller.
-    blackboard::Entry<LocalBackend> backend;           ///< Written by the announcement controller.
-    blackboard::Entry<LifeStage> stage;                ///< Written by the drain controller.
-    blackboard::Entry<DeeperFloorsHeard> deeperFloors; ///< Written by the entry.
-    blackboard::Entry<EntryState> entryState;          ///< Written by the entry's thread.
-    blackboard::Entry<GateState> gateState;            ///< Written by the gate's thread.
+            members;                         ///< Written by the membership controller.
+    blackboard::Entry<LocalBackend> backend; ///< Written by the announcement controller.
+    blackboard::Entry<LifeStage> stage;      ///< Written by the drain controller.
+    blackboard::Entry<ReportedDeeperFloors> deeperFloors; ///< Written by the entry.
+    blackboard::Entry<EntryState> entryState;             ///< Written by the entry's thread.
+    blackboard::Entry<GateState> gateState;               ///< Written by the gate's thread.
     /// Suspected and refused requests; written by the gate's thread.
     blackboard::Entry<std::vector<quarantine::QuarantineEntry>> quarantine;
 };
