--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -363,7 +363,7 @@
 
 auto ControlPlane::isReady() const -> bool
 {
-    return *m_board.configuration.read() != nullptr && *m_board.stage.read() == LifeStage::Running;
+    return *m_board.configuration.read() != nullptr && *m_board.stage.read() == NodeStage::Running;
 }
 
 auto ControlPlane::renderStatus() const -> std::string
--- a/source/node/Node.cpp
+++ b/source/node/Node.cpp
@@ -250,7 +250,7 @@
         if (std::exchange(m_isDraining, true))
             return;
         log::Line(log::Severity::Info, "drain-started").add("cause", cause);
-        m_board.stage.publish(LifeStage::Draining);
+        m_board.stage.publish(NodeStage::Draining);
         m_drainTimer.expires_after(m_settings.drainTimeout);
         m_drainTimer.async_wait([this](const boost::system::error_code &ec) {
             if (!ec)
@@ -300,7 +300,7 @@
 
 auto Node::drainEntry() -> void
 {
-    m_board.stage.publish(LifeStage::Stopping);
+    m_board.stage.publish(NodeStage::Stopping);
     m_controlPlane->leave([this] {
         m_hasLeft = true;
         finishDrainIfDone();
--- a/source/node/NodeBoard.h
+++ b/source/node/NodeBoard.h
@@ -46,7 +46,7 @@
 };
 
 /// Stage of the node's graceful shutdown.
-enum class LifeStage {
+enum class NodeStage {
     Running,
     Draining, ///< The gate refuses new calls; running calls complete.
     Stopping, ///< No call runs any more; connections are being closed.
@@ -88,7 +88,7 @@
     blackboard::Entry<membership::MembershipView>
             members;                         ///< Written by the membership controller.
     blackboard::Entry<LocalBackend> backend; ///< Written by the announcement controller.
-    blackboard::Entry<LifeStage> stage;      ///< Written by the drain controller.
+    blackboard::Entry<NodeStage> stage;      ///< Written by the drain controller.
     blackboard::Entry<ReportedDeeperFloors> deeperFloors; ///< Written by the entry.
     blackboard::Entry<EntryState> entryState;             ///< Written by the entry's thread.
     blackboard::Entry<GateState> gateState;               ///< Written by the gate's thread.
@@ -99,5 +99,5 @@
 } // namespace stairspur::node
 
 template <>
-inline constexpr auto stairspur::enumNames<stairspur::node::LifeStage> =
+inline constexpr auto stairspur::enumNames<stairspur::node::NodeStage> =
         std::array<std::string_view, 3>{"running", "draining", "stopping"};
