--- a/source/node/DomainSummary.cpp
+++ b/source/node/DomainSummary.cpp
@@ -53,8 +53,8 @@
         othersAlive[it.domain] = othersAlive[it.domain] || it.liveness == Liveness::Alive;
         const auto version = reported.find(it.node);
         if (version != reported.end())
-            summary.heardAge =
-                    std::min(summary.heardAge.value_or(version->second.age), version->second.age);
+            summary.lastSeenAge = std::min(summary.lastSeenAge.value_or(version->second.age),
+                                           version->second.age);
     }
     for (auto &[name, summary] : domains)
         summary.isCutOff = !othersAlive[name] && summary.suspect + summary.dead > 0;
--- a/source/node/DomainSummary.h
+++ b/source/node/DomainSummary.h
@@ -27,7 +27,7 @@
     /// Whether no other node of the domain is alive and at least one is suspect or dead without having left.
     bool isCutOff = false;
     /// Time since the latest report received directly from another node of the domain; empty if there is no recent one.
-    std::optional<Duration> heardAge;
+    std::optional<Duration> lastSeenAge;
 };
 
 /// Returns the summaries of all failure domains in `view`, by name, from the viewpoint of the node `self`. `reported`: the
--- a/source/node/StatusReport.cpp
+++ b/source/node/StatusReport.cpp
@@ -65,7 +65,7 @@
             {"suspect", summary.suspect},   {"dead", summary.dead},
             {"left", summary.left},         {"serving", summary.serving},
             {"draining", summary.draining}, {"starting", summary.starting},
-            {"cutOff", summary.isCutOff},   {"heardSecondsAgo", toSeconds(summary.heardAge)},
+            {"cutOff", summary.isCutOff},   {"heardSecondsAgo", toSeconds(summary.lastSeenAge)},
     };
 }
 
--- a/tests/node/TestStatusReport.cpp
+++ b/tests/node/TestStatusReport.cpp
@@ -74,9 +74,9 @@
     cr_assert_eq(own.left, 1);
     cr_assert_eq(own.serving, 1);
     cr_assert_eq(own.draining, 1);
-    cr_assert_eq(own.heardAge->count(), 300);
+    cr_assert_eq(own.lastSeenAge->count(), 300);
     cr_assert_eq(domains.at("e").starting, 1);
-    cr_assert(!domains.at("e").heardAge);
+    cr_assert(!domains.at("e").lastSeenAge);
 }
 
 Test(LivenessHistory, recordsSinceWhenANodeIsSuspectOrDead)
