--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -8,7 +8,7 @@
 
 #include "CallerAdmission.h"
 #include "ControlMetrics.h"
-#include "QuarantineKeeper.h"
+#include "QuarantineService.h"
 #include "StatusReport.h"
 
 namespace stairspur::node {
--- a/source/node/CrashWatch.h
+++ b/source/node/CrashWatch.h
@@ -13,7 +13,7 @@
 
 #include "BackendAnswer.h"
 #include "NodeBoard.h"
-#include "QuarantineKeeper.h"
+#include "QuarantineService.h"
 
 namespace stairspur::node {
 
@@ -22,7 +22,7 @@
 class CrashWatch
 {
 public:
-    CrashWatch(transport::asio::io_context &io, QuarantineKeeper &quarantine)
+    CrashWatch(transport::asio::io_context &io, QuarantineService &quarantine)
         : m_io(io)
         , m_quarantine(quarantine)
     {}
@@ -45,7 +45,7 @@
     auto lookForCrash(const LocalBackend &backend) -> transport::Task<void>;
 
     transport::asio::io_context &m_io;
-    QuarantineKeeper &m_quarantine;
+    QuarantineService &m_quarantine;
     quarantine::CrashDetector m_detector;
     std::uint64_t m_replacements = 0;
     /// While it is being found out whether the backend server has ended; cancelled when that is known.
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -36,7 +36,7 @@
 }
 
 Gate::Gate(transport::asio::io_context &io, const NodeBoard &board, RunningCalls &running,
-           NodeMetrics &metrics, CallIdSource &callIds, QuarantineKeeper &quarantine,
+           NodeMetrics &metrics, CallIdSource &callIds, QuarantineService &quarantine,
            std::uint64_t seed, const CallProtocol *protocol)
     : m_io(io)
     , m_board(board)
--- a/source/node/Gate.h
+++ b/source/node/Gate.h
@@ -21,7 +21,7 @@
 #include "CrashWatch.h"
 #include "NodeBoard.h"
 #include "NodeMetrics.h"
-#include "QuarantineKeeper.h"
+#include "QuarantineService.h"
 #include "RunningCalls.h"
 #include "TrialLane.h"
 
@@ -33,7 +33,7 @@
 {
 public:
     Gate(transport::asio::io_context &io, const NodeBoard &board, RunningCalls &running,
-         NodeMetrics &metrics, CallIdSource &callIds, QuarantineKeeper &quarantine,
+         NodeMetrics &metrics, CallIdSource &callIds, QuarantineService &quarantine,
          std::uint64_t seed, const CallProtocol *protocol = nullptr);
 
     /// Serves one call: from admission to the backend server's whole answer.
@@ -107,7 +107,7 @@
     std::uint64_t m_configurationGeneration = 0;
     std::unique_ptr<admission::AdmissionController> m_admission;
     ClientPtr m_client;
-    QuarantineKeeper &m_quarantine;
+    QuarantineService &m_quarantine;
     CrashWatch m_crashes;
     TrialLane m_trials;
     std::unordered_map<CallId, std::shared_ptr<Waiter>> m_waiters;
--- a/source/node/Node.h
+++ b/source/node/Node.h
@@ -80,7 +80,7 @@
     transport::PeerClient m_entryPeers;
     transport::PeerServer m_peerServer;
     Entry m_entry;
-    QuarantineKeeper m_quarantine;
+    QuarantineService m_quarantine;
     Gate m_gate;
     std::optional<KeyedGate>
             m_keyedGate; ///< Empty without a store, since the store contains the placements.
--- a/source/node/QuarantineKeeper.cpp
+++ b/source/node/QuarantineService.cpp
@@ -1,4 +1,4 @@
-#include "QuarantineKeeper.h"
+#include "QuarantineService.h"
 
 #include <algorithm>
 #include <utility>
@@ -31,8 +31,8 @@
     return settings;
 }
 
-QuarantineKeeper::QuarantineKeeper(boost::asio::io_context &io, NodeBoard &board, NodeId node,
-                                   std::uint64_t seed, Send send)
+QuarantineService::QuarantineService(boost::asio::io_context &io, NodeBoard &board, NodeId node,
+                                     std::uint64_t seed, Send send)
     : m_board(board)
     , m_node(std::move(node))
     , m_state(quarantineSettings(m_node), seed, monotonicNow())
@@ -40,17 +40,17 @@
     , m_timer(io)
 {}
 
-auto QuarantineKeeper::start() -> void
+auto QuarantineService::start() -> void
 {
     scheduleTick(monotonicNow() + TickInterval);
 }
 
-auto QuarantineKeeper::judge(const RequestFingerprint &request) const -> quarantine::Judgement
+auto QuarantineService::judge(const RequestFingerprint &request) const -> quarantine::Judgement
 {
     return m_state.judge(request, monotonicNow());
 }
 
-auto QuarantineKeeper::didCrash(const std::vector<RequestFingerprint> &requests) -> void
+auto QuarantineService::didCrash(const std::vector<RequestFingerprint> &requests) -> void
 {
     refreshPeers();
     log::Line(log::Severity::Warning, "backend-crash").add("requests", requests.size());
@@ -58,14 +58,14 @@
     flush();
 }
 
-auto QuarantineKeeper::didAnswer(const RequestFingerprint &request) -> void
+auto QuarantineService::didAnswer(const RequestFingerprint &request) -> void
 {
     m_state.didAnswer(request, monotonicNow());
     if (m_state.size() > 0)
         flush();
 }
 
-auto QuarantineKeeper::receive(const NodeId &from, const std::string &payload) -> void
+auto QuarantineService::receive(const NodeId &from, const std::string &payload) -> void
 {
     refreshPeers();
     try {
@@ -78,7 +78,7 @@
     flush();
 }
 
-auto QuarantineKeeper::restore(const std::string &saved) -> void
+auto QuarantineService::restore(const std::string &saved) -> void
 {
     try {
         m_state.restore(saved, monotonicNow());
@@ -90,7 +90,7 @@
     flush();
 }
 
-auto QuarantineKeeper::release(std::string_view name) -> std::size_t
+auto QuarantineService::release(std::string_view name) -> std::size_t
 {
     const auto released = m_state.release(name, monotonicNow());
     flush();
@@ -106,7 +106,7 @@
            && member.state != membership::ServingState::Left;
 }
 
-auto QuarantineKeeper::refreshPeers() -> void
+auto QuarantineService::refreshPeers() -> void
 {
     const auto membersGeneration = m_board.members.generation();
     const auto backendGeneration = m_board.backend.generation();
@@ -124,7 +124,7 @@
     m_state.setPeers(std::move(peers));
 }
 
-auto QuarantineKeeper::scheduleTick(TimePoint due) -> void
+auto QuarantineService::scheduleTick(TimePoint due) -> void
 {
     m_nextTick = due;
     m_timer.expires_after(std::max(due - monotonicNow(), Duration::zero()));
@@ -134,7 +134,7 @@
     });
 }
 
-auto QuarantineKeeper::tick() -> void
+auto QuarantineService::tick() -> void
 {
     const auto now = monotonicNow();
     refreshPeers();
@@ -145,7 +145,7 @@
         publishEntries();
 }
 
-auto QuarantineKeeper::flush() -> void
+auto QuarantineService::flush() -> void
 {
     if (const auto due = m_state.nextDue(); due && *due < m_nextTick)
         scheduleTick(*due);
@@ -158,14 +158,14 @@
         publishEntries();
 }
 
-auto QuarantineKeeper::publishEntries() -> void
+auto QuarantineService::publishEntries() -> void
 {
     auto entries = m_state.entries(monotonicNow());
     m_hasEntries = !entries.empty();
     m_board.quarantine.publish(std::move(entries));
 }
 
-auto QuarantineKeeper::handleEvent(const quarantine::QuarantineEvent &event) -> void
+auto QuarantineService::handleEvent(const quarantine::QuarantineEvent &event) -> void
 {
     const auto severity = event.change == QuarantineChange::Refused ? log::Severity::Warning
                                                                     : log::Severity::Info;
--- a/source/node/QuarantineKeeper.h
+++ b/source/node/QuarantineService.h
@@ -24,14 +24,14 @@
 
 /// Runs the quarantine of this host's service: reads the peers from the blackboard, sends the datagrams of QuarantineState
 /// and logs its events. Belongs to the gate's thread.
-class QuarantineKeeper
+class QuarantineService
 {
 public:
     using Send = std::function<void(const NodeId &to, const std::string &payload)>;
     using Save = std::function<void(const std::string &name, const std::string &saved)>;
 
-    QuarantineKeeper(boost::asio::io_context &io, NodeBoard &board, NodeId node, std::uint64_t seed,
-                     Send send);
+    QuarantineService(boost::asio::io_context &io, NodeBoard &board, NodeId node,
+                      std::uint64_t seed, Send send);
 
     /// Sets the function that saves records which must survive a restart of all nodes. It is called when a request becomes
     /// refused because of a crash at this gate, and with an empty text when it is no longer refused.
--- a/tests/node/CallPathHarness.h
+++ b/tests/node/CallPathHarness.h
@@ -80,7 +80,7 @@
         CountedCallIds callIds;
         transport::HttpServer backend;
         transport::PeerServer peerServer;
-        QuarantineKeeper quarantine;
+        QuarantineService quarantine;
         Gate gate;
         std::function<void(const NodeId &to, const std::string &payload)> tellGate;
     };
