--- a/source/node/CallerAdmission.cpp
+++ b/source/node/CallerAdmission.cpp
@@ -42,7 +42,8 @@
 }
 
 CallerAdmission::CallerAdmission(asio::io_context &io, const NodeSettings &settings,
-                                 const NodeBoard &board, std::uint64_t seed, QuotaKeeper::Send send)
+                                 const NodeBoard &board, std::uint64_t seed,
+                                 QuotaService::Send send)
     : m_io(io)
     , m_settings(settings)
     , m_board(board)
--- a/source/node/CallerAdmission.h
+++ b/source/node/CallerAdmission.h
@@ -14,7 +14,7 @@
 
 #include "CallIntake.h"
 #include "NodeBoard.h"
-#include "QuotaKeeper.h"
+#include "QuotaService.h"
 
 namespace stairspur::node {
 
@@ -42,7 +42,7 @@
 {
 public:
     CallerAdmission(transport::asio::io_context &io, const NodeSettings &settings,
-                    const NodeBoard &board, std::uint64_t seed, QuotaKeeper::Send send);
+                    const NodeBoard &board, std::uint64_t seed, QuotaService::Send send);
 
     /// `proof`: read before the configuration by which the call was read.
     auto admit(const IncomingCall &call, const ConfigurationProof &proof)
@@ -56,7 +56,7 @@
     auto judgeUnknownKey(std::uint64_t version, TimePoint arrivedAt,
                          transport::CancellationPtr cancellation) -> transport::Task<CallerVerdict>;
 
-    auto quotas() -> QuotaKeeper & { return m_quotas; }
+    auto quotas() -> QuotaService & { return m_quotas; }
 
 private:
     auto waitForProof(TimePoint since, const transport::CancellationPtr &cancellation)
@@ -65,7 +65,7 @@
     transport::asio::io_context &m_io;
     const NodeSettings &m_settings;
     const NodeBoard &m_board;
-    QuotaKeeper m_quotas;
+    QuotaService m_quotas;
     std::uint32_t m_waitingForProof = 0;
 };
 
--- a/source/node/Entry.cpp
+++ b/source/node/Entry.cpp
@@ -23,7 +23,7 @@
 
 Entry::Entry(transport::asio::io_context &io, const NodeSettings &settings, NodeBoard &board,
              RunningCalls &running, NodeMetrics &metrics, transport::PeerClient &peers,
-             Incarnation start, std::uint64_t seed, QuotaKeeper::Send askForTokens,
+             Incarnation start, std::uint64_t seed, QuotaService::Send askForTokens,
              const CallProtocol *protocol)
     : m_io(io)
     , m_settings(settings)
--- a/source/node/QuotaKeeper.cpp
+++ b/source/node/QuotaService.cpp
@@ -1,4 +1,4 @@
-#include "QuotaKeeper.h"
+#include "QuotaService.h"
 
 #include <utility>
 #include <vector>
@@ -13,8 +13,8 @@
 /// Time between two ticks, short compared to the 80 ms after which a token request is given up.
 static constexpr auto TickInterval = Duration{20'000};
 
-QuotaKeeper::QuotaKeeper(transport::asio::io_context &io, const NodeBoard &board,
-                         std::uint64_t seed, Send send)
+QuotaService::QuotaService(transport::asio::io_context &io, const NodeBoard &board,
+                           std::uint64_t seed, Send send)
     : m_io(io)
     , m_board(board)
     , m_holder({}, seed, monotonicNow())
@@ -22,7 +22,7 @@
     , m_ticker(io)
 {}
 
-auto QuotaKeeper::refreshNodes(TimePoint now) -> void
+auto QuotaService::refreshNodes(TimePoint now) -> void
 {
     const auto generation = m_board.members.generation();
     if (generation == m_membersGeneration)
@@ -32,7 +32,7 @@
     m_holder.setNodes(aliveNodes(*view), now);
 }
 
-auto QuotaKeeper::admit(const std::string &caller, const config::RequestQuota &quota)
+auto QuotaService::admit(const std::string &caller, const config::RequestQuota &quota)
         -> transport::Task<QuotaDecision>
 {
     const auto now = monotonicNow();
@@ -51,19 +51,19 @@
     co_return waiter->decision.value_or(QuotaDecision());
 }
 
-auto QuotaKeeper::giveBack(const std::string &caller, const QuotaDecision &decision) -> void
+auto QuotaService::giveBack(const std::string &caller, const QuotaDecision &decision) -> void
 {
     m_holder.giveBack(caller, decision.tokenEnd, monotonicNow());
     flush();
 }
 
-auto QuotaKeeper::receive(const quota::TokenGrant &grant) -> void
+auto QuotaService::receive(const quota::TokenGrant &grant) -> void
 {
     m_holder.receive(grant, monotonicNow());
     flush();
 }
 
-auto QuotaKeeper::flush() -> void
+auto QuotaService::flush() -> void
 {
     for (const auto &it : m_holder.takeDatagrams())
         m_send(it.to, it.payload);
@@ -76,7 +76,7 @@
     }
 }
 
-auto QuotaKeeper::ensureTicking() -> void
+auto QuotaService::ensureTicking() -> void
 {
     if (m_isTicking)
         return;
--- a/source/node/QuotaKeeper.h
+++ b/source/node/QuotaService.h
@@ -19,14 +19,14 @@
 
 /// Runs QuotaHolder for this host's entry: reads the nodes from the blackboard and suspends requests until they have a token.
 /// Belongs to the entry's thread.
-class QuotaKeeper
+class QuotaService
 {
 public:
     /// Sends a datagram to the grantor, which may be this node.
     using Send = std::function<void(const NodeId &to, const std::string &payload)>;
 
-    QuotaKeeper(transport::asio::io_context &io, const NodeBoard &board, std::uint64_t seed,
-                Send send);
+    QuotaService(transport::asio::io_context &io, const NodeBoard &board, std::uint64_t seed,
+                 Send send);
 
     /// Waits until it is decided whether a request of the caller may run: immediately, within a few milliseconds, or at the
     /// latest after two unanswered token requests.
