--- a/source/node/ControlPlane.h
+++ b/source/node/ControlPlane.h
@@ -29,7 +29,7 @@
 #include "NodeBoard.h"
 #include "NodeMetrics.h"
 #include "QuarantineArchive.h"
-#include "RendezvousKeeper.h"
+#include "RendezvousService.h"
 #include "ReportedVersions.h"
 
 namespace stairspur::node {
@@ -129,7 +129,7 @@
     transport::PeerClient m_peers;
     std::optional<store::AnyStore> m_store;
     membership::MembershipService m_membership;
-    std::optional<RendezvousKeeper> m_rendezvous;
+    std::optional<RendezvousService> m_rendezvous;
     std::optional<QuarantineArchive> m_quarantineArchive; ///< Empty without a store.
     std::set<std::string> m_servicesOfInterest;
     std::optional<distribution::DistributionService> m_distribution;
--- a/source/node/RendezvousKeeper.cpp
+++ b/source/node/RendezvousService.cpp
@@ -1,4 +1,4 @@
-#include "RendezvousKeeper.h"
+#include "RendezvousService.h"
 
 #include <algorithm>
 
@@ -30,9 +30,9 @@
     return settings;
 }
 
-RendezvousKeeper::RendezvousKeeper(asio::io_context &io, store::AnyStore &store, NodeId ownNode,
-                                   std::string domain, Duration claimSpread, HintsCallback didRead,
-                                   std::uint64_t seed)
+RendezvousService::RendezvousService(asio::io_context &io, store::AnyStore &store, NodeId ownNode,
+                                     std::string domain, Duration claimSpread,
+                                     HintsCallback didRead, std::uint64_t seed)
     : m_io(io)
     , m_store(store)
     , m_ownNode(std::move(ownNode))
@@ -43,18 +43,18 @@
     , m_timer(io)
 {}
 
-auto RendezvousKeeper::start() -> void
+auto RendezvousService::start() -> void
 {
     asio::co_spawn(m_io, run(), asio::detached);
 }
 
-auto RendezvousKeeper::leave() -> void
+auto RendezvousService::leave() -> void
 {
     m_slots.leave(monotonicNow());
     m_timer.cancel();
 }
 
-auto RendezvousKeeper::run() -> Task<void>
+auto RendezvousService::run() -> Task<void>
 {
     while (true) {
         co_await step();
@@ -68,13 +68,13 @@
 /// Returns the time until the next action, with a resolution of a millisecond. The random delays prevent that the
 /// nodes of a failure domain which start at once all claim its three keys at once. With a resolution of 200 ms, 194 hosts
 /// made 161 claims for 15 keys within a second, and each claim is three writes.
-auto RendezvousKeeper::timeUntilNextStep() const -> Duration
+auto RendezvousService::timeUntilNextStep() const -> Duration
 {
     const auto due = m_hasSeenOtherDomains ? m_slots.due() : std::min(m_slots.due(), m_nextSearch);
     return std::clamp(due - monotonicNow(), MinPause, MaxPause);
 }
 
-auto RendezvousKeeper::step() -> Task<void>
+auto RendezvousService::step() -> Task<void>
 {
     switch (m_slots.next(monotonicNow())) {
     case RendezvousAction::None:
@@ -91,12 +91,12 @@
     }
 }
 
-auto RendezvousKeeper::keyOf(std::uint32_t slot) const -> std::string
+auto RendezvousService::keyOf(std::uint32_t slot) const -> std::string
 {
     return m_prefix + std::to_string(slot);
 }
 
-auto RendezvousKeeper::read() -> Task<void>
+auto RendezvousService::read() -> Task<void>
 {
     const auto isRead = co_await readHolders();
     if (isRead)
@@ -106,7 +106,7 @@
 }
 
 /// Reads the keys of all failure domains. Those of the own domain are its slots; all of them are possible first peers.
-auto RendezvousKeeper::readHolders() -> Task<bool>
+auto RendezvousService::readHolders() -> Task<bool>
 {
     const auto prefix = std::string(AllDomainsPrefix);
     auto request = store::RangeRequest{prefix, store::endOfPrefix(prefix)};
@@ -130,7 +130,7 @@
 
 /// Reads the keys again until another domain is found. All domains may start at once, and their keys exist only after they
 /// have been claimed.
-auto RendezvousKeeper::searchOtherDomains() -> Task<void>
+auto RendezvousService::searchOtherDomains() -> Task<void>
 {
     const auto now = monotonicNow();
     if (m_hasSeenOtherDomains || now < m_nextSearch)
@@ -140,7 +140,7 @@
     co_await readHolders();
 }
 
-auto RendezvousKeeper::claim() -> Task<void>
+auto RendezvousService::claim() -> Task<void>
 {
     const auto sentAt = monotonicNow();
     const auto lease = co_await m_store.grantLease(m_settings.leaseTime);
@@ -168,7 +168,7 @@
         co_await m_store.revokeLease(m_lease);
 }
 
-auto RendezvousKeeper::renew() -> Task<void>
+auto RendezvousService::renew() -> Task<void>
 {
     const auto sentAt = monotonicNow();
     const auto answer = co_await m_store.keepLeaseAlive(m_lease);
--- a/source/node/RendezvousKeeper.h
+++ b/source/node/RendezvousService.h
@@ -17,15 +17,15 @@
 
 /// Executes the actions of RendezvousSlots: maintains a few leased keys per failure domain in the platform's store, through
 /// which a starting node finds its first peers. Belongs to the control thread.
-class RendezvousKeeper
+class RendezvousService
 {
 public:
     using HintsCallback = std::function<void(const std::vector<NodeId> &)>;
 
     /// The store must outlive the io_context. `didRead` is called with the nodes that each read has found.
-    RendezvousKeeper(transport::asio::io_context &io, store::AnyStore &store, NodeId ownNode,
-                     std::string domain, Duration claimSpread, HintsCallback didRead,
-                     std::uint64_t seed);
+    RendezvousService(transport::asio::io_context &io, store::AnyStore &store, NodeId ownNode,
+                      std::string domain, Duration claimSpread, HintsCallback didRead,
+                      std::uint64_t seed);
 
     auto start() -> void;
 
