--- a/source/node/CallerAdmission.cpp
+++ b/source/node/CallerAdmission.cpp
@@ -72,7 +72,7 @@
 auto CallerAdmission::didNotRun(const std::string &caller, const CallerVerdict &verdict) -> void
 {
     if (verdict.token)
-        m_quotas.giveBack(caller, *verdict.token);
+        m_quotas.returnToken(caller, *verdict.token);
 }
 
 auto CallerAdmission::judgeUnknownKey(std::uint64_t version, TimePoint arrivedAt,
--- a/source/node/QuotaService.cpp
+++ b/source/node/QuotaService.cpp
@@ -51,7 +51,7 @@
     co_return waiter->decision.value_or(QuotaDecision());
 }
 
-auto QuotaService::giveBack(const std::string &caller, const QuotaDecision &decision) -> void
+auto QuotaService::returnToken(const std::string &caller, const QuotaDecision &decision) -> void
 {
     m_holder.giveBack(caller, decision.tokenEnd, monotonicNow());
     flush();
--- a/source/node/QuotaService.h
+++ b/source/node/QuotaService.h
@@ -34,7 +34,7 @@
             -> transport::Task<quota::QuotaDecision>;
 
     /// Returns the token of an admitted request that was not executed.
-    auto giveBack(const std::string &caller, const quota::QuotaDecision &decision) -> void;
+    auto returnToken(const std::string &caller, const quota::QuotaDecision &decision) -> void;
 
     /// Processes a grant of a grantor.
     auto receive(const quota::TokenGrant &grant) -> void;
