--- a/source/node/ControlPlane.h
+++ b/source/node/ControlPlane.h
@@ -86,7 +86,7 @@
     /// Sends a token request of the local entry to the grantor of a caller's quota.
     auto askForTokens(const NodeId &grantor, const std::string &payload) -> void
     {
-        m_grantor.ask(grantor, payload);
+        m_grantor.requestTokens(grantor, payload);
     }
 
     /// Saves the quarantine record `name` to the store, where it survives a restart of all nodes. Removes it if `saved` is
--- a/source/node/GrantorService.cpp
+++ b/source/node/GrantorService.cpp
@@ -16,7 +16,7 @@
     , m_grantor(quota::QuotaSettings(), monotonicNow())
 {}
 
-auto GrantorService::ask(const NodeId &grantor, const std::string &payload) -> void
+auto GrantorService::requestTokens(const NodeId &grantor, const std::string &payload) -> void
 {
     if (grantor == m_ownNode)
         receive(m_ownNode, payload);
--- a/source/node/GrantorService.h
+++ b/source/node/GrantorService.h
@@ -24,7 +24,7 @@
     GrantorService(const NodeBoard &board, NodeId ownNode, Send send, DidGrant didGrant);
 
     /// Sends a token request of this host's entry to the grantor, or processes it here if this node is the grantor.
-    auto ask(const NodeId &grantor, const std::string &payload) -> void;
+    auto requestTokens(const NodeId &grantor, const std::string &payload) -> void;
     /// Processes a datagram of another node.
     auto receive(const NodeId &from, const std::string &payload) -> void;
 
