--- a/source/node/ControlPlane.h
+++ b/source/node/ControlPlane.h
@@ -84,7 +84,7 @@
     auto sendToGate(const NodeId &to, const std::string &payload) -> void;
 
     /// Sends a token request of the local entry to the grantor of a caller's quota.
-    auto askForTokens(const NodeId &grantor, const std::string &payload) -> void
+    auto requestTokens(const NodeId &grantor, const std::string &payload) -> void
     {
         m_grantor.requestTokens(grantor, payload);
     }
--- a/source/node/Node.cpp
+++ b/source/node/Node.cpp
@@ -58,7 +58,7 @@
     , m_entry(
               m_entryThread.io(), m_settings, m_board, m_running, m_metrics, m_entryPeers,
               m_incarnation, seed(),
-              [this](const auto &to, const auto &payload) { askForTokens(to, payload); },
+              [this](const auto &to, const auto &payload) { requestTokens(to, payload); },
               protocol())
     , m_quarantine(m_gateThread.io(), m_board, m_settings.nodeId(), seed(),
                    [this](const auto &to, const auto &payload) { sendToGate(to, payload); })
@@ -192,10 +192,10 @@
 }
 
 /// Moves a token request from the entry's thread to the control thread.
-auto Node::askForTokens(const NodeId &grantor, const std::string &payload) -> void
+auto Node::requestTokens(const NodeId &grantor, const std::string &payload) -> void
 {
     asio::post(m_control.io(),
-               [this, grantor, payload] { m_controlPlane->askForTokens(grantor, payload); });
+               [this, grantor, payload] { m_controlPlane->requestTokens(grantor, payload); });
 }
 
 /// Serves a call to this host's backend server, or a keyed call whose key this node may have to bind first. Runs on the
--- a/source/node/Node.h
+++ b/source/node/Node.h
@@ -63,7 +63,7 @@
     auto drainEntry() -> void;
     auto drainPeers() -> void;
     auto sendToGate(const NodeId &to, const std::string &payload) -> void;
-    auto askForTokens(const NodeId &grantor, const std::string &payload) -> void;
+    auto requestTokens(const NodeId &grantor, const std::string &payload) -> void;
     auto finishDrainIfDone() -> void;
     auto finishDrain(bool isComplete) -> void;
 
