--- a/include/stairspur/node/NodeAdapter.h
+++ b/include/stairspur/node/NodeAdapter.h
@@ -27,7 +27,8 @@
     /// Returns whether the node is ready to serve callers.
     std::function<bool()> isReady;
     /// Records that an announcement of `instance` was refused; `error` is the reason.
-    std::function<void(const std::string &instance, const std::string &error)> didRefuse;
+    std::function<void(const std::string &instance, const std::string &error)>
+            didRefuseAnnouncement;
 };
 
 /// An additional address on which the control thread serves HTTP requests.
