--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -188,7 +188,7 @@
     m_membership.setViewCallback([this](const auto &view) { didChangeView(view); });
     m_membership.start();
     m_datagrams.setHandler(QuarantineTopic, [this](const auto &from, const auto &payload) {
-        m_handlers.didHearGate(from, payload);
+        m_handlers.didReceiveFromGate(from, payload);
     });
     m_datagrams.setHandler(QuotaTopic, [this](const auto &from, const auto &payload) {
         m_grantor.receive(from, payload);
--- a/source/node/ControlPlane.h
+++ b/source/node/ControlPlane.h
@@ -46,7 +46,7 @@
     /// Restores a quarantine record of the store: a request under which backend servers crashed.
     std::function<void(const std::string &saved)> restoreQuarantine;
     /// Processes a crash report of another node's gate.
-    std::function<void(const NodeId &from, const std::string &payload)> didHearGate;
+    std::function<void(const NodeId &from, const std::string &payload)> didReceiveFromGate;
     /// Processes the response to a token request of the local entry.
     std::function<void(const quota::TokenGrant &grant)> didGrant;
     /// A connection to the store or to a peer no longer responds, although new connections work.
--- a/source/node/Node.cpp
+++ b/source/node/Node.cpp
@@ -103,7 +103,7 @@
     handlers.didChangeBackend = [this] {
         asio::post(m_gateThread.io(), [this] { m_gate.refreshFromBoard(); });
     };
-    handlers.didHearGate = [this](const NodeId &from, const std::string &payload) {
+    handlers.didReceiveFromGate = [this](const NodeId &from, const std::string &payload) {
         asio::post(m_gateThread.io(),
                    [this, from, payload] { m_quarantine.receive(from, payload); });
     };
