--- a/include/stairspur/node/NodeSettings.h
+++ b/include/stairspur/node/NodeSettings.h
@@ -34,7 +34,7 @@
 
     Duration protocolPeriod{1'000'000}; ///< Period of the membership protocol.
     /// Shortest time between two published views of the members. All upstream pools iterate over each view.
-    Duration viewPause{1'000'000};
+    Duration minViewInterval{1'000'000};
     Duration announcementTimeout{5'000'000};
     Duration drainTimeout{
             30'000'000}; ///< Time in which running calls may complete during shutdown.
--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -64,7 +64,7 @@
     membership.period = settings.protocolPeriod;
     membership.quickPeriods = QuickPeriods;
     membership.probeTimeout = settings.protocolPeriod / 4;
-    membership.viewPause = settings.viewPause;
+    membership.viewPause = settings.minViewInterval;
     return membership;
 }
 
