--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -291,7 +291,7 @@
 
 auto ControlPlane::didChangeView(std::shared_ptr<const membership::MembershipView> view) -> void
 {
-    m_livenessHistory.didSee(*view, monotonicNow());
+    m_livenessHistory.didChangeView(*view, monotonicNow());
     m_board.members.publishSnapshot(std::move(view));
 }
 
--- a/source/node/LivenessHistory.cpp
+++ b/source/node/LivenessHistory.cpp
@@ -4,7 +4,7 @@
 
 namespace stairspur::node {
 
-auto LivenessHistory::didSee(const membership::MembershipView &view, TimePoint now) -> void
+auto LivenessHistory::didChangeView(const membership::MembershipView &view, TimePoint now) -> void
 {
     auto judgements = std::map<NodeId, Judgement>();
     for (const auto &it : view.members) {
--- a/source/node/LivenessHistory.h
+++ b/source/node/LivenessHistory.h
@@ -14,7 +14,7 @@
 {
 public:
     /// Records the view of the members that is current from `now` on.
-    auto didSee(const membership::MembershipView &view, TimePoint now) -> void;
+    auto didChangeView(const membership::MembershipView &view, TimePoint now) -> void;
 
     /// Returns when this node received the current suspicion or death of `node`; empty if `node` is alive or unknown.
     [[nodiscard]] auto since(const NodeId &node) const -> std::optional<TimePoint>;
--- a/tests/node/TestStatusReport.cpp
+++ b/tests/node/TestStatusReport.cpp
@@ -83,14 +83,14 @@
 {
     auto history = LivenessHistory();
     const auto at = [](int seconds) { return TimePoint(std::chrono::seconds(seconds)); };
-    history.didSee({{member("a", "d", Liveness::Alive)}}, at(1));
+    history.didChangeView({{member("a", "d", Liveness::Alive)}}, at(1));
     cr_assert(!history.since("a"));
-    history.didSee({{member("a", "d", Liveness::Suspect)}}, at(2));
-    history.didSee({{member("a", "d", Liveness::Suspect)}}, at(3));
+    history.didChangeView({{member("a", "d", Liveness::Suspect)}}, at(2));
+    history.didChangeView({{member("a", "d", Liveness::Suspect)}}, at(3));
     cr_assert(history.since("a") == at(2));
-    history.didSee({{member("a", "d", Liveness::Dead)}}, at(4));
+    history.didChangeView({{member("a", "d", Liveness::Dead)}}, at(4));
     cr_assert(history.since("a") == at(4));
-    history.didSee({{member("a", "d", Liveness::Alive)}}, at(5));
+    history.didChangeView({{member("a", "d", Liveness::Alive)}}, at(5));
     cr_assert(!history.since("a"));
 }
 
@@ -103,7 +103,7 @@
             {member("a", "d", Liveness::Alive), member("b", "e", Liveness::Suspect)}};
     board.members.publish(view);
     auto history = LivenessHistory();
-    history.didSee(view, TimePoint(std::chrono::seconds(10)));
+    history.didChangeView(view, TimePoint(std::chrono::seconds(10)));
     const auto reported = ReportedVersionMap{{"a", {7, Duration{1'500'000}}}};
     const auto report = nlohmann::json::parse(
             statusReport(settings, board, reported, history, TimePoint(std::chrono::seconds(14))));
