--- a/include/stairspur/node/NodeSettings.h
+++ b/include/stairspur/node/NodeSettings.h
@@ -42,7 +42,7 @@
     Duration stopNotice{0};
     Duration peerPingInterval{
             1'000'000}; ///< On links with waiting calls; three unanswered pings close a link.
-    /// Longest time after which no host serves a caller's key that an applied configuration has revoked, even if the host is
+    /// Time within which each host stops serving a caller's key that an applied configuration has revoked, even if the host is
     /// disconnected: a host serves callers only if its configuration was proven to be the newest within this time.
     /// 0: no such guarantee.
     Duration revocationBound{0};
--- a/source/node/ControlMetrics.cpp
+++ b/source/node/ControlMetrics.cpp
@@ -84,10 +84,11 @@
                  "Membership datagrams and records that were rejected."},
                 "what",
                 {{"datagram", counters.rejectedDatagrams}, {"record", counters.rejectedRecords}});
-    addCounter(registry,
-               {"stairspur_membership_pauses_total",
-                "Pauses of this process, during which it published no judgements."},
-               counters.pauses);
+    addCounter(
+            registry,
+            {"stairspur_membership_pauses_total",
+             "Pauses of this process itself, which it does not count as failures of other nodes."},
+            counters.pauses);
     addCounters(registry, {"stairspur_membership_bytes_total", "Payload of membership datagrams."},
                 "direction", {{"sent", counters.bytesSent}, {"received", counters.bytesReceived}});
 }
--- a/source/node/RendezvousService.cpp
+++ b/source/node/RendezvousService.cpp
@@ -65,8 +65,8 @@
     }
 }
 
-/// Returns the time until the next action, with a resolution of a millisecond. The random delays prevent that the
-/// nodes of a failure domain which start at once all claim its three keys at once. With a resolution of 200 ms, 194 hosts
+/// Returns the time until the next action, with a resolution of a millisecond. The random delays keep the nodes of
+/// a failure domain that starts at once from claiming its three keys all at once. With a resolution of 200 ms, 194 hosts
 /// made 161 claims for 15 keys within a second, and each claim is three writes.
 auto RendezvousService::timeUntilNextStep() const -> Duration
 {
