--- a/source/node/Node.cpp
+++ b/source/node/Node.cpp
@@ -243,7 +243,8 @@
     m_board.gateState.publish(std::move(state));
 }
 
-/// Starts the shutdown. The gate is drained before the entry, since running calls may still make deeper calls through this host's entry.
+/// Starts the shutdown. The gate is drained before the entry, since running calls may still make deeper calls through this
+/// host's entry.
 auto Node::startDrain(std::string cause) -> void
 {
     asio::post(m_control.io(), [this, cause = std::move(cause)] {
@@ -260,8 +261,8 @@
     });
 }
 
-/// Starts closing the callers' connections, but continues to serve requests for the time of the stop notice, in which callers
-/// see that the node is not ready and choose other nodes.
+/// Serves requests for the time of the stop notice, each with `Connection: close`, so that callers see that the node is not
+/// ready and choose other nodes.
 auto Node::stopAcceptingCallers() -> void
 {
     if (m_settings.stopNotice <= Duration::zero()) {
