--- a/source/node/AnnouncementRefusals.cpp
+++ b/source/node/AnnouncementRefusals.cpp
@@ -4,16 +4,16 @@
 
 namespace stairspur::node {
 
-/// Time between two lines: a person reads no faster.
+/// Shortest time between two log lines. A reader cannot follow more.
 static constexpr auto LineInterval = Duration{1'000'000};
 
 auto AnnouncementRefusals::didRefuse(const std::string &instance, const std::string &error,
                                      TimePoint now) -> void
 {
     ++m_count;
-    if (m_toldAt && now - *m_toldAt < LineInterval)
+    if (m_loggedAt && now - *m_loggedAt < LineInterval)
         return;
-    m_toldAt = now;
+    m_loggedAt = now;
     ++m_lines;
     log::Line(log::Severity::Warning, "announcement-refused")
             .add("instance", instance)
--- a/source/node/CallerAdmission.cpp
+++ b/source/node/CallerAdmission.cpp
@@ -43,7 +43,8 @@
 }
 
 CallerAdmission::CallerAdmission(asio::io_context &io, const NodeSettings &settings,
-                                 const NodeBoard &board, std::uint64_t seed, QuotaKeeper::Send send)
+                                 const NodeBoard &board, std::uint64_t seed,
+                                 QuotaService::Send send)
     : m_io(io)
     , m_settings(settings)
     , m_board(board)
@@ -74,7 +75,7 @@
 auto CallerAdmission::didNotRun(const std::string &caller, const CallerDecision &decision) -> void
 {
     if (decision.token)
-        m_quotas.giveBack(caller, *decision.token);
+        m_quotas.returnToken(caller, *decision.token);
 }
 
 auto CallerAdmission::checkUnknownKey(std::uint64_t version, TimePoint arrivedAt,
--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -8,7 +8,7 @@
 
 #include "CallerAdmission.h"
 #include "ControlMetrics.h"
-#include "QuarantineKeeper.h"
+#include "QuarantineService.h"
 #include "StatusReport.h"
 
 namespace stairspur::node {
@@ -16,13 +16,13 @@
 namespace asio = transport::asio;
 using membership::ServingState;
 
-/// How often silence of the backend server is looked for.
+/// Time between two checks of the announcement timeout and of the configuration proof.
 static constexpr auto TickInterval = std::chrono::milliseconds(250);
-/// Three seconds at the platform's period of half a second: hosts that start at once then know each other after about one
-/// second, where it took up to two.
+/// Number of quick protocol periods after the start. At the platform's period of half a second they last three seconds, and
+/// hosts that start at once discover each other after about one second, instead of up to two.
 static constexpr auto QuickPeriods = 30U;
-/// A node that goes repeats its word for so many protocol periods. It is passed on at once by whoever hears it, and the
-/// gate's own refusals say the same, so that one period is enough.
+/// Protocol periods for which a leaving node repeats its leave message. One is enough: receivers forward the message at
+/// once, and refusals of the gate carry the same information.
 static constexpr auto LeavePeriods = 1;
 
 auto peerSettings(const NodeSettings &settings) -> transport::PeerSettings
@@ -64,11 +64,12 @@
     membership.period = settings.protocolPeriod;
     membership.quickPeriods = QuickPeriods;
     membership.probeTimeout = settings.protocolPeriod / 4;
-    membership.minViewInterval = settings.viewPause;
+    membership.minViewInterval = settings.minViewInterval;
     return membership;
 }
 
-/// The admin port serves the host's backend server and a few people and collectors; its bodies are announcements.
+/// The admin port serves the host's backend server, a few operators and metrics collectors. The only large bodies are
+/// announcements.
 static constexpr auto MaxAdminConnections = std::uint32_t{256};
 static constexpr auto MaxAdminBodyBytes = std::uint64_t{64U << 10U};
 
@@ -146,7 +147,7 @@
                            std::move(parts), seed);
     m_membership.setAnnotationCallback([this](const NodeId &from, const std::string &bytes) {
         m_distribution->didHearDigest(from, bytes);
-        m_versionsHeard.didHear(from, bytes, monotonicNow());
+        m_reportedVersions.didReceive(from, bytes, monotonicNow());
     });
 }
 
@@ -155,7 +156,7 @@
     server.setRequestHandler(distribution::ConfigTopic, m_distribution->requestHandler());
 }
 
-/// A configuration came into force: the traffic threads get it, and the other nodes hear of it with the next probe.
+/// Publishes a configuration that came into force: to the traffic threads at once, to the other nodes with the next probe.
 auto ControlPlane::didPublish(config::ConfigurationPtr configuration) -> void
 {
     auto services = std::set<std::string>();
@@ -167,8 +168,8 @@
             .add("services", services.size());
     m_board.configuration.publish(
             std::make_shared<const config::ConfigurationIndex>(std::move(configuration)));
-    // Every entry may be asked for every service, and spills to other failure domains. Most changes leave the set as it
-    // is, and each one told costs a new view of all members.
+    // Each entry may receive calls for each service and sends calls to other failure domains. The set is set only if it has
+    // changed, since that creates a new view of all members.
     if (services != m_servicesOfInterest) {
         m_membership.setServicesOfInterest(services);
         m_servicesOfInterest = std::move(services);
@@ -187,7 +188,7 @@
     m_membership.setViewCallback([this](const auto &view) { didChangeView(view); });
     m_membership.start();
     m_datagrams.setHandler(QuarantineTopic, [this](const auto &from, const auto &payload) {
-        m_handlers.didHearGate(from, payload);
+        m_handlers.didReceiveFromGate(from, payload);
     });
     m_datagrams.setHandler(QuotaTopic, [this](const auto &from, const auto &payload) {
         m_grantor.receive(from, payload);
@@ -236,15 +237,16 @@
     }
 }
 
-/// A service that no configuration names is no reason to give up the backend server that stands here. One that is known
-/// goes on announcing when its service leaves the configuration: its leaving has to be heard.
+/// Throws AnnouncementError if the configuration in force does not contain the announced service, so that the current backend
+/// server is kept. A backend server that is already registered may continue to announce itself after its service was removed
+/// from the configuration, because its leave announcement has to arrive.
 auto ControlPlane::checkService(const membership::Announcement &announcement) const -> void
 {
     const auto &current = m_announcements.current();
     const auto configuration = *m_board.configuration.read();
-    const auto isKnownLife = current && current->incarnation == announcement.incarnation
-                             && current->service == announcement.service;
-    if (isKnownLife || !configuration || configuration->findService(announcement.service))
+    const auto isCurrentBackend = current && current->incarnation == announcement.incarnation
+                                  && current->service == announcement.service;
+    if (isCurrentBackend || !configuration || configuration->findService(announcement.service))
         return;
     throw membership::AnnouncementError("announcement: no configuration names this service",
                                         "announce a service of the configuration, or apply one "
@@ -265,7 +267,7 @@
         publishBackend();
 }
 
-/// Tells the gate and the other nodes what the backend server says of itself.
+/// Publishes the latest announcement of the backend server to the gate and the other nodes.
 auto ControlPlane::publishBackend() -> void
 {
     const auto &current = m_announcements.current();
@@ -289,7 +291,7 @@
 
 auto ControlPlane::didChangeView(std::shared_ptr<const membership::MembershipView> view) -> void
 {
-    m_livenessHistory.didSee(*view, monotonicNow());
+    m_livenessHistory.didChangeView(*view, monotonicNow());
     m_board.members.publishSnapshot(std::move(view));
 }
 
@@ -301,13 +303,13 @@
             return;
         if (m_announcements.tick(monotonicNow()))
             publishBackend();
-        noteProof();
+        logProofChange();
         scheduleTick();
     });
 }
 
-/// Tells when this host ceases to serve callers by their keys, and when it begins again.
-auto ControlPlane::noteProof() -> void
+/// Logs when this host stops serving callers by their keys because its proof has expired, and when it resumes.
+auto ControlPlane::logProofChange() -> void
 {
     const auto proof = *m_board.configurationProof.read();
     const auto now = monotonicNow();
@@ -335,11 +337,12 @@
 auto ControlPlane::release(const std::string &request) -> bool
 {
     const auto entries = m_board.quarantine.read();
-    const auto isKnown = std::any_of(entries->begin(), entries->end(),
-                                     [&](const auto &it) { return it.request.name() == request; });
-    if (isKnown)
+    const auto isQuarantined = std::any_of(entries->begin(), entries->end(), [&](const auto &it) {
+        return it.request.name() == request;
+    });
+    if (isQuarantined)
         m_handlers.release(request);
-    return isKnown;
+    return isQuarantined;
 }
 
 auto ControlPlane::announceDraining() -> void
@@ -360,13 +363,14 @@
 
 auto ControlPlane::isReady() const -> bool
 {
-    return *m_board.configuration.read() != nullptr && *m_board.stage.read() == LifeStage::Running;
+    return *m_board.configuration.read() != nullptr && *m_board.stage.read() == NodeStage::Running;
 }
 
 auto ControlPlane::renderStatus() const -> std::string
 {
     const auto now = monotonicNow();
-    return statusReport(m_settings, m_board, m_versionsHeard.recent(now), m_livenessHistory, now);
+    return statusReport(m_settings, m_board, m_reportedVersions.recent(now), m_livenessHistory,
+                        now);
 }
 
 auto ControlPlane::renderMetrics() const -> std::string
--- a/source/node/FloorTeller.cpp
+++ b/source/node/DeeperFloorReporter.cpp
@@ -1,38 +1,38 @@
-#include "FloorTeller.h"
+#include "DeeperFloorReporter.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace stairspur::node {
 
-/// How often the gate is told what the deeper services refuse: while calls flow, and while anything is refused.
+/// Shortest time between two publications to the gate, while calls end or any floor is raised.
 static constexpr auto FloorInterval = Duration{20'000};
-/// How often unchanged floors are told again: those that nobody confirms lapse after a second.
+/// Time after which unchanged floors are published again. Floors that are not confirmed expire after a second.
 static constexpr auto FloorConfirmInterval = Duration{250'000};
 
-FloorTeller::FloorTeller(boost::asio::io_context &io, NodeBoard &board,
-                         const ObservedCalls &observedCalls, FloorAt floorAt)
+DeeperFloorReporter::DeeperFloorReporter(boost::asio::io_context &io, NodeBoard &board,
+                                         const ObservedCalls &observedCalls, FloorAt floorAt)
     : m_board(board)
     , m_observedCalls(observedCalls)
     , m_floorAt(std::move(floorAt))
     , m_timer(io)
 {}
 
-auto FloorTeller::refresh(TimePoint now) -> void
+auto DeeperFloorReporter::refresh(TimePoint now) -> void
 {
     if (now - m_refreshedAt < FloorInterval)
         return;
     m_refreshedAt = now;
-    tell(now);
+    publishFloors(now);
     ensureTimer();
 }
 
-/// Floors that are up may have to fall while no call comes.
-auto FloorTeller::ensureTimer() -> void
+/// Starts the timer while any floor is raised, so that floors can fall even when no call ends.
+auto DeeperFloorReporter::ensureTimer() -> void
 {
-    const auto isUp = [](Level it) { return it > LowestLevel; };
-    const auto isRankUp = std::ranges::any_of(m_told.byRank, isUp);
-    if (m_hasTimer || (!isRankUp && m_told.byPath.empty()))
+    const auto isRaised = [](Level it) { return it > LowestLevel; };
+    const auto isRankRaised = std::ranges::any_of(m_published.byRank, isRaised);
+    if (m_hasTimer || (!isRankRaised && m_published.byPath.empty()))
         return;
     m_hasTimer = true;
     m_timer.expires_after(FloorInterval);
@@ -43,23 +43,24 @@
     });
 }
 
-auto FloorTeller::tell(TimePoint now) -> void
+auto DeeperFloorReporter::publishFloors(TimePoint now) -> void
 {
     const auto configuration = *m_board.configuration.read();
     const auto service = m_board.backend.read()->service;
     if (!configuration || service.empty())
         return;
-    auto floors = DeeperFloorsHeard{floorsByRank(*configuration, service, now), floorsByPath(now)};
-    if (floors == m_told && now - m_toldAt < FloorConfirmInterval)
+    auto floors =
+            ReportedDeeperFloors{floorsByRank(*configuration, service, now), floorsByPath(now)};
+    if (floors == m_published && now - m_publishedAt < FloorConfirmInterval)
         return;
-    m_toldAt = now;
-    m_told = floors;
+    m_publishedAt = now;
+    m_published = floors;
     m_board.deeperFloors.publish(std::move(floors));
 }
 
-/// By the call paths that the configuration names.
-auto FloorTeller::floorsByRank(const config::ConfigurationIndex &configuration,
-                               const std::string &service, TimePoint now) const
+/// Returns the floor of each class, from the call paths in the configuration.
+auto DeeperFloorReporter::floorsByRank(const config::ConfigurationIndex &configuration,
+                                       const std::string &service, TimePoint now) const
         -> std::vector<Level>
 {
     auto floors = std::vector<Level>();
@@ -72,8 +73,8 @@
     return floors;
 }
 
-/// By the calls that were seen. Paths without a floor are left out.
-auto FloorTeller::floorsByPath(TimePoint now) const -> std::vector<PathFloor>
+/// Returns the floors of the paths of the observed calls. Paths without a floor are omitted.
+auto DeeperFloorReporter::floorsByPath(TimePoint now) const -> std::vector<PathFloor>
 {
     auto floors = std::vector<PathFloor>();
     for (const auto &it : m_observedCalls.paths(now)) {
--- a/source/node/Entry.h
+++ b/source/node/Entry.h
@@ -20,7 +20,7 @@
 
 #include "CallIntake.h"
 #include "CallerAdmission.h"
-#include "FloorTeller.h"
+#include "DeeperFloorReporter.h"
 #include "NodeBoard.h"
 #include "NodeMetrics.h"
 #include "ObservedCalls.h"
@@ -36,7 +36,7 @@
 public:
     Entry(transport::asio::io_context &io, const NodeSettings &settings, NodeBoard &board,
           RunningCalls &running, NodeMetrics &metrics, transport::PeerClient &peers,
-          Incarnation start, std::uint64_t seed, QuotaKeeper::Send sendTokenRequest,
+          Incarnation start, std::uint64_t seed, QuotaService::Send sendTokenRequest,
           const CallProtocol *protocol = nullptr);
 
     ~Entry();
@@ -124,7 +124,7 @@
     CallerAdmission m_callers;
     ServiceRouteTable m_routes;
     ObservedCalls m_observedCalls;
-    FloorTeller m_floorTeller;
+    DeeperFloorReporter m_floorReporter;
     const CallProtocol *m_protocol; ///< Null for the product's own protocol.
 };
 
--- a/source/node/GrantorService.cpp
+++ b/source/node/GrantorService.cpp
@@ -16,7 +16,7 @@
     , m_grantor(quota::QuotaSettings(), monotonicNow())
 {}
 
-auto GrantorService::ask(const NodeId &grantor, const std::string &payload) -> void
+auto GrantorService::requestTokens(const NodeId &grantor, const std::string &payload) -> void
 {
     if (grantor == m_ownNode)
         receive(m_ownNode, payload);
@@ -27,7 +27,7 @@
 auto GrantorService::receive(const NodeId &from, const std::string &payload) -> void
 {
     try {
-        std::visit([&](const auto &it) { take(from, it); }, quota::readMessage(payload));
+        std::visit([&](const auto &it) { process(from, it); }, quota::readMessage(payload));
     } catch (const InputError &error) {
         log::Line(log::Severity::Warning, "quota-message-rejected")
                 .add("from", from)
@@ -35,26 +35,26 @@
     }
 }
 
-auto GrantorService::take(const NodeId &from, const quota::TokenRequest &request) -> void
+auto GrantorService::process(const NodeId &from, const quota::TokenRequest &request) -> void
 {
-    const auto grant = answerTo(request);
+    const auto grant = grantFor(request);
     if (request.wanted == 0)
-        return; // It only gave tokens back.
+        return; // The request only returned tokens.
     if (from == m_ownNode)
         m_didGrant(grant);
     else
         m_send(from, quota::writeMessage(grant));
 }
 
-auto GrantorService::take(const NodeId & /*from*/, const quota::TokenGrant &grant) -> void
+auto GrantorService::process(const NodeId & /*from*/, const quota::TokenGrant &grant) -> void
 {
     m_didGrant(grant);
 }
 
-auto GrantorService::answerTo(const quota::TokenRequest &request) -> quota::TokenGrant
+auto GrantorService::grantFor(const quota::TokenRequest &request) -> quota::TokenGrant
 {
     const auto now = monotonicNow();
-    refreshHosts(now);
+    refreshNodes(now);
     const auto configuration = *m_board.configuration.read();
     const auto *caller = configuration ? configuration->findCaller(request.caller) : nullptr;
     if (!caller || !caller->quota)
@@ -62,7 +62,7 @@
     return m_grantor.grantTokens(request, *caller->quota, now);
 }
 
-auto GrantorService::refreshHosts(TimePoint now) -> void
+auto GrantorService::refreshNodes(TimePoint now) -> void
 {
     const auto generation = m_board.members.generation();
     if (generation == m_membersGeneration)
--- a/source/node/Node.cpp
+++ b/source/node/Node.cpp
@@ -16,7 +16,7 @@
 
 namespace asio = transport::asio;
 
-/// How often the traffic threads publish what operators see of them.
+/// Time between two updates of the traffic threads' state for the metrics.
 static constexpr auto PublishInterval = Duration{1'000'000};
 
 static auto entryServerSettings(const NodeSettings &settings) -> transport::HttpServerSettings
@@ -39,7 +39,7 @@
     return (std::uint64_t{device()} << 32U) | device();
 }
 
-/// Placements stand in the store: a node without one is never the primary of a key.
+/// Refuses a keyed call on a node without a store. Placements are stored there, so such a node is never the primary of a key.
 static auto refuseKeyedCall() -> transport::Task<transport::CallAnswer>
 {
     auto answer = transport::CallAnswer();
@@ -51,16 +51,17 @@
 Node::Node(const NodeSettings &settings, const NodeAdapter &adapter)
     : m_settings(settings)
     , m_adapter(adapter)
-    , m_start(membership::currentStartIncarnation())
+    , m_incarnation(membership::currentStartIncarnation())
     , m_entryPeers(m_entryThread.io(), peerSettings(settings))
     , m_peerServer(m_gateThread.io(), settings.hostAddress, settings.peerPort,
                    peerSettings(settings))
     , m_entry(
-              m_entryThread.io(), m_settings, m_board, m_running, m_metrics, m_entryPeers, m_start,
-              seed(), [this](const auto &to, const auto &payload) { askForTokens(to, payload); },
+              m_entryThread.io(), m_settings, m_board, m_running, m_metrics, m_entryPeers,
+              m_incarnation, seed(),
+              [this](const auto &to, const auto &payload) { requestTokens(to, payload); },
               protocol())
     , m_quarantine(m_gateThread.io(), m_board, m_settings.nodeId(), seed(),
-                   [this](const auto &to, const auto &payload) { tellGate(to, payload); })
+                   [this](const auto &to, const auto &payload) { sendToGate(to, payload); })
     , m_gate(m_gateThread.io(), m_board, m_running, m_metrics, m_callIds, m_quarantine, seed(),
              protocol())
     , m_entryServer(m_entryThread.io(), entryServerSettings(settings),
@@ -74,14 +75,15 @@
 {
     m_entryPeers.setSilenceObserver([this] { didFindSilence(); });
     m_controlPlane = std::make_unique<ControlPlane>(m_control.io(), m_settings, m_adapter, m_board,
-                                                    m_metrics, handlers(), m_start, seed());
-    // Surroundings with a protocol of their own send no idempotency keys.
+                                                    m_metrics, handlers(), m_incarnation, seed());
+    // A platform with its own call protocol sends no idempotency keys.
     if (settings.store.empty() || m_adapter.calls)
         return;
     m_keyedGate.emplace(
-            m_gateThread.io(), m_settings, m_board, keyed::Replica{settings.nodeId(), m_start},
+            m_gateThread.io(), m_settings, m_board,
+            keyed::Replica{settings.nodeId(), m_incarnation},
             [this](auto request, auto cancellation) {
-                return placeBoundCall(std::move(request), std::move(cancellation));
+                return runBoundCall(std::move(request), std::move(cancellation));
             },
             seed());
     m_keyedGate->setSilenceObserver([this] { didFindSilence(); });
@@ -101,7 +103,7 @@
     handlers.didChangeBackend = [this] {
         asio::post(m_gateThread.io(), [this] { m_gate.refreshFromBoard(); });
     };
-    handlers.didHearGate = [this](const NodeId &from, const std::string &payload) {
+    handlers.didReceiveFromGate = [this](const NodeId &from, const std::string &payload) {
         asio::post(m_gateThread.io(),
                    [this, from, payload] { m_quarantine.receive(from, payload); });
     };
@@ -126,7 +128,8 @@
     return m_adapter.calls ? &*m_adapter.calls : nullptr;
 }
 
-/// On any thread. What silenced one connection of this host may have silenced those of its other threads.
+/// Checks the connections of all threads after one has stopped responding, since the cause may affect all of them. May be
+/// called on any thread.
 auto Node::didFindSilence() -> void
 {
     asio::post(m_entryThread.io(), [this] { m_entryPeers.verifyLinks(); });
@@ -135,7 +138,7 @@
         asio::post(m_gateThread.io(), [this] { m_keyedGate->verifyLinks(); });
 }
 
-/// On the entry's thread.
+/// Applies the new configuration to the entry. Runs on the entry's thread.
 auto Node::didChangeConfiguration() -> void
 {
     m_entry.didChangeConfiguration();
@@ -182,20 +185,21 @@
             .add("peer_port", m_peerServer.port());
 }
 
-/// From the gate's thread to the control thread, which has the datagrams.
-auto Node::tellGate(const NodeId &to, const std::string &payload) -> void
+/// Moves a datagram from the gate's thread to the control thread, which owns the datagram channel.
+auto Node::sendToGate(const NodeId &to, const std::string &payload) -> void
 {
     asio::post(m_control.io(), [this, to, payload] { m_controlPlane->sendToGate(to, payload); });
 }
 
-/// From the entry's thread to the control thread.
-auto Node::askForTokens(const NodeId &grantor, const std::string &payload) -> void
+/// Moves a token request from the entry's thread to the control thread.
+auto Node::requestTokens(const NodeId &grantor, const std::string &payload) -> void
 {
     asio::post(m_control.io(),
-               [this, grantor, payload] { m_controlPlane->askForTokens(grantor, payload); });
+               [this, grantor, payload] { m_controlPlane->requestTokens(grantor, payload); });
 }
 
-/// On the gate's thread: a call for this host's backend server, or one whose key this node may have to bind first.
+/// Serves a call to this host's backend server, or a keyed call whose key this node may have to bind first. Runs on the
+/// gate's thread.
 auto Node::handleCall(transport::CallRequest request, transport::CancellationPtr cancellation)
         -> transport::Task<transport::CallAnswer>
 {
@@ -206,8 +210,9 @@
     return refuseKeyedCall();
 }
 
-/// From the gate's thread to the entry's and back: the key is bound here, the call runs at any upstream of its service.
-auto Node::placeBoundCall(transport::CallRequest request, transport::CancellationPtr cancellation)
+/// Runs a call, whose key is bound to this node, at any upstream of its service. Called on the gate's thread; the call runs
+/// on the entry's thread.
+auto Node::runBoundCall(transport::CallRequest request, transport::CancellationPtr cancellation)
         -> transport::Task<transport::CallAnswer>
 {
     auto &entryIo = m_entryThread.io();
@@ -238,39 +243,41 @@
     m_board.gateState.publish(std::move(state));
 }
 
-/// The order matters: running calls may still make deeper calls through this host's entry, so the gate empties first.
+/// Starts the shutdown. The gate is drained before the entry, since running calls may still make deeper calls through this
+/// host's entry.
 auto Node::startDrain(std::string cause) -> void
 {
     asio::post(m_control.io(), [this, cause = std::move(cause)] {
         if (std::exchange(m_isDraining, true))
             return;
         log::Line(log::Severity::Info, "drain-started").add("cause", cause);
-        m_board.stage.publish(LifeStage::Draining);
+        m_board.stage.publish(NodeStage::Draining);
         m_drainTimer.expires_after(m_settings.drainTimeout);
         m_drainTimer.async_wait([this](const boost::system::error_code &ec) {
             if (!ec)
                 finishDrain(false);
         });
-        stopTakingCallers();
+        stopAcceptingCallers();
     });
 }
 
-/// Callers that see that the node is not ready go elsewhere; until then everything is served as before.
-auto Node::stopTakingCallers() -> void
+/// Serves requests for the time of the stop notice, each with `Connection: close`, so that callers see that the node is not
+/// ready and choose other nodes.
+auto Node::stopAcceptingCallers() -> void
 {
     if (m_settings.stopNotice <= Duration::zero()) {
-        stopTakingWork();
+        stopAcceptingCalls();
         return;
     }
     asio::post(m_entryThread.io(), [this] { m_entryServer.startClosing(); });
     m_noticeTimer.expires_after(m_settings.stopNotice);
     m_noticeTimer.async_wait([this](const boost::system::error_code &ec) {
         if (!ec)
-            stopTakingWork();
+            stopAcceptingCalls();
     });
 }
 
-auto Node::stopTakingWork() -> void
+auto Node::stopAcceptingCalls() -> void
 {
     m_controlPlane->announceDraining();
     drainGate();
@@ -281,10 +288,10 @@
     asio::post(m_gateThread.io(), [this] { m_gate.drain([this] { drainKeys(); }); });
 }
 
-/// Hands the keyed slots over while the entry still places the calls that are bound here. On the gate's thread.
+/// Hands the keyed slots over while the entry still runs the calls whose keys are bound here. Runs on the gate's thread.
 auto Node::drainKeys() -> void
 {
-    auto didFinish = [this](bool /*isWhole*/) {
+    auto didFinish = [this](bool /*isComplete*/) {
         asio::post(m_control.io(), [this] { drainEntry(); });
     };
     if (m_keyedGate)
@@ -295,7 +302,7 @@
 
 auto Node::drainEntry() -> void
 {
-    m_board.stage.publish(LifeStage::Stopping);
+    m_board.stage.publish(NodeStage::Stopping);
     m_controlPlane->leave([this] {
         m_hasLeft = true;
         finishDrainIfDone();
@@ -317,33 +324,33 @@
     });
 }
 
-/// The word that this node goes is repeated while its last requests end.
+/// Finishes when the peer links are drained and the leave message has been repeated, which happen concurrently.
 auto Node::finishDrainIfDone() -> void
 {
     if (m_arePeersDrained && m_hasLeft)
         finishDrain(true);
 }
 
-auto Node::finishDrain(bool isWhole) -> void
+auto Node::finishDrain(bool isComplete) -> void
 {
     if (std::exchange(m_isStopped, true))
         return;
     m_drainTimer.cancel();
-    log::Line(isWhole ? log::Severity::Info : log::Severity::Warning, "drain-finished")
-            .add("whole", isWhole);
-    m_stopped.set_value(isWhole);
+    log::Line(isComplete ? log::Severity::Info : log::Severity::Warning, "drain-finished")
+            .add("whole", isComplete);
+    m_stopped.set_value(isComplete);
 }
 
 auto Node::waitUntilStopped() -> bool
 {
-    const auto isWhole = m_stopped.get_future().get();
+    const auto isComplete = m_stopped.get_future().get();
     m_control.stop();
     m_entryThread.stop();
     m_gateThread.stop();
-    return isWhole;
+    return isComplete;
 }
 
-/// SIGHUP asks for the settings to be read again, and never ends the process.
+/// Reads the settings again on each SIGHUP. Without a settings file SIGHUP has no effect; it never ends the process.
 static auto reloadUponSignal(asio::signal_set &hangUp, const NodeAdapter &adapter) -> void
 {
     hangUp.async_wait([&hangUp, &adapter](const boost::system::error_code &ec, int) {
@@ -382,9 +389,9 @@
             node.startDrain(number == SIGTERM ? "sigterm" : "sigint");
     });
     signals.start();
-    const auto isWhole = node.waitUntilStopped();
+    const auto isComplete = node.waitUntilStopped();
     signals.stop();
-    return isWhole ? 0 : DrainTimedOut;
+    return isComplete ? 0 : DrainTimedOut;
 }
 
 } // namespace stairspur::node
--- a/source/node/QuarantineKeeper.cpp
+++ b/source/node/QuarantineService.cpp
@@ -1,4 +1,4 @@
-#include "QuarantineKeeper.h"
+#include "QuarantineService.h"
 
 #include <algorithm>
 #include <utility>
@@ -11,7 +11,7 @@
 using quarantine::QuarantineChange;
 using quarantine::RequestFingerprint;
 
-/// Between two ticks where nothing is due earlier.
+/// Time between two ticks if no action is due earlier.
 static constexpr auto TickInterval = Duration{1'000'000};
 
 auto fingerprintOf(const transport::CallRequest &request) -> RequestFingerprint
@@ -31,8 +31,8 @@
     return settings;
 }
 
-QuarantineKeeper::QuarantineKeeper(boost::asio::io_context &io, NodeBoard &board, NodeId node,
-                                   std::uint64_t seed, Send send)
+QuarantineService::QuarantineService(boost::asio::io_context &io, NodeBoard &board, NodeId node,
+                                     std::uint64_t seed, Send send)
     : m_board(board)
     , m_node(std::move(node))
     , m_state(quarantineSettings(m_node), seed, monotonicNow())
@@ -40,18 +40,18 @@
     , m_timer(io)
 {}
 
-auto QuarantineKeeper::start() -> void
+auto QuarantineService::start() -> void
 {
     scheduleTick(monotonicNow() + TickInterval);
 }
 
-auto QuarantineKeeper::decide(const RequestFingerprint &request) const
+auto QuarantineService::decide(const RequestFingerprint &request) const
         -> quarantine::QuarantineDecision
 {
     return m_state.decide(request, monotonicNow());
 }
 
-auto QuarantineKeeper::didCrash(const std::vector<RequestFingerprint> &requests) -> void
+auto QuarantineService::didCrash(const std::vector<RequestFingerprint> &requests) -> void
 {
     refreshPeers();
     log::Line(log::Severity::Warning, "backend-crash").add("requests", requests.size());
@@ -59,14 +59,14 @@
     flush();
 }
 
-auto QuarantineKeeper::didAnswer(const RequestFingerprint &request) -> void
+auto QuarantineService::didAnswer(const RequestFingerprint &request) -> void
 {
     m_state.didAnswer(request, monotonicNow());
     if (m_state.size() > 0)
         flush();
 }
 
-auto QuarantineKeeper::receive(const NodeId &from, const std::string &payload) -> void
+auto QuarantineService::receive(const NodeId &from, const std::string &payload) -> void
 {
     refreshPeers();
     try {
@@ -79,7 +79,7 @@
     flush();
 }
 
-auto QuarantineKeeper::restore(const std::string &saved) -> void
+auto QuarantineService::restore(const std::string &saved) -> void
 {
     try {
         m_state.restore(saved, monotonicNow());
@@ -91,14 +91,14 @@
     flush();
 }
 
-auto QuarantineKeeper::release(std::string_view name) -> std::size_t
+auto QuarantineService::release(std::string_view name) -> std::size_t
 {
     const auto released = m_state.release(name, monotonicNow());
     flush();
     return released;
 }
 
-/// Whether a member's gate belongs to the service and can be reached. One that drains still answers.
+/// Returns whether a member's gate belongs to the service and is reachable. A draining gate still responds.
 static auto isPeer(const membership::Member &member, const std::string &service, const NodeId &own)
         -> bool
 {
@@ -107,7 +107,7 @@
            && member.state != membership::ServingState::Left;
 }
 
-auto QuarantineKeeper::refreshPeers() -> void
+auto QuarantineService::refreshPeers() -> void
 {
     const auto membersGeneration = m_board.members.generation();
     const auto backendGeneration = m_board.backend.generation();
@@ -125,7 +125,7 @@
     m_state.setPeers(std::move(peers));
 }
 
-auto QuarantineKeeper::scheduleTick(TimePoint due) -> void
+auto QuarantineService::scheduleTick(TimePoint due) -> void
 {
     m_nextTick = due;
     m_timer.expires_after(std::max(due - monotonicNow(), Duration::zero()));
@@ -135,7 +135,7 @@
     });
 }
 
-auto QuarantineKeeper::tick() -> void
+auto QuarantineService::tick() -> void
 {
     const auto now = monotonicNow();
     refreshPeers();
@@ -146,7 +146,7 @@
         publishEntries();
 }
 
-auto QuarantineKeeper::flush() -> void
+auto QuarantineService::flush() -> void
 {
     if (const auto due = m_state.nextDue(); due && *due < m_nextTick)
         scheduleTick(*due);
@@ -154,19 +154,19 @@
         m_send(it.to, it.payload);
     const auto events = m_state.takeEvents();
     for (const auto &it : events)
-        report(it);
+        handleEvent(it);
     if (!events.empty())
         publishEntries();
 }
 
-auto QuarantineKeeper::publishEntries() -> void
+auto QuarantineService::publishEntries() -> void
 {
     auto entries = m_state.entries(monotonicNow());
     m_hasEntries = !entries.empty();
     m_board.quarantine.publish(std::move(entries));
 }
 
-auto QuarantineKeeper::report(const quarantine::QuarantineEvent &event) -> void
+auto QuarantineService::handleEvent(const quarantine::QuarantineEvent &event) -> void
 {
     const auto severity = event.change == QuarantineChange::Refused ? log::Severity::Warning
                                                                     : log::Severity::Info;
--- a/source/node/RendezvousKeeper.cpp
+++ b/source/node/RendezvousService.cpp
@@ -1,4 +1,4 @@
-#include "RendezvousKeeper.h"
+#include "RendezvousService.h"
 
 #include <algorithm>
 
@@ -18,63 +18,63 @@
 using transport::Task;
 
 static constexpr auto AllDomainsPrefix = std::string_view("/stairspur/rendezvous/");
-static constexpr auto MaxLookDelay = Duration{600'000'000};
-/// Longest and shortest time between two looks at what is due.
-static constexpr auto LongestPause = Duration{200'000};
-static constexpr auto ShortestPause = Duration{1'000};
+static constexpr auto MaxSearchDelay = Duration{600'000'000};
+/// Longest and shortest time between two checks for a due action.
+static constexpr auto MaxPause = Duration{200'000};
+static constexpr auto MinPause = Duration{1'000};
 
-static auto withSpread(Duration claimSpread) -> membership::RendezvousSettings
+static auto settingsWithSpread(Duration claimSpread) -> membership::RendezvousSettings
 {
     auto settings = membership::RendezvousSettings();
     settings.claimSpread = claimSpread;
     return settings;
 }
 
-RendezvousKeeper::RendezvousKeeper(asio::io_context &io, store::AnyStore &store, NodeId ownNode,
-                                   std::string domain, Duration claimSpread, HintsCallback didRead,
-                                   std::uint64_t seed)
+RendezvousService::RendezvousService(asio::io_context &io, store::AnyStore &store, NodeId ownNode,
+                                     std::string domain, Duration claimSpread,
+                                     HintsCallback didRead, std::uint64_t seed)
     : m_io(io)
     , m_store(store)
     , m_ownNode(std::move(ownNode))
     , m_prefix(std::string(AllDomainsPrefix) + std::move(domain) + "/")
     , m_didRead(std::move(didRead))
-    , m_settings(withSpread(claimSpread))
+    , m_settings(settingsWithSpread(claimSpread))
     , m_slots(m_settings, seed, monotonicNow())
     , m_timer(io)
 {}
 
-auto RendezvousKeeper::start() -> void
+auto RendezvousService::start() -> void
 {
     asio::co_spawn(m_io, run(), asio::detached);
 }
 
-auto RendezvousKeeper::leave() -> void
+auto RendezvousService::leave() -> void
 {
     m_slots.leave(monotonicNow());
     m_timer.cancel();
 }
 
-auto RendezvousKeeper::run() -> Task<void>
+auto RendezvousService::run() -> Task<void>
 {
     while (true) {
         co_await step();
-        co_await lookForOtherDomains();
+        co_await searchOtherDomains();
         auto ec = boost::system::error_code();
-        m_timer.expires_after(pause());
+        m_timer.expires_after(timeUntilNextStep());
         co_await m_timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
     }
 }
 
-/// Until the next call is due, to the millisecond: the times are drawn so that a failure domain which starts at once does not
-/// claim its three keys at once. On a grid of 200 ms, 194 hosts made 161 claims for 15 keys within a second, each of
-/// them three writes.
-auto RendezvousKeeper::pause() const -> Duration
+/// Returns the time until the next action, with a resolution of a millisecond. The random delays keep the nodes of
+/// a failure domain that starts at once from claiming its three keys all at once. With a resolution of 200 ms, 194 hosts
+/// made 161 claims for 15 keys within a second, and each claim is three writes.
+auto RendezvousService::timeUntilNextStep() const -> Duration
 {
-    const auto due = m_knowsOtherDomains ? m_slots.due() : std::min(m_slots.due(), m_nextLook);
-    return std::clamp(due - monotonicNow(), ShortestPause, LongestPause);
+    const auto due = m_hasSeenOtherDomains ? m_slots.due() : std::min(m_slots.due(), m_nextSearch);
+    return std::clamp(due - monotonicNow(), MinPause, MaxPause);
 }
 
-auto RendezvousKeeper::step() -> Task<void>
+auto RendezvousService::step() -> Task<void>
 {
     switch (m_slots.next(monotonicNow())) {
     case RendezvousAction::None:
@@ -91,12 +91,12 @@
     }
 }
 
-auto RendezvousKeeper::keyOf(std::uint32_t slot) const -> std::string
+auto RendezvousService::keyOf(std::uint32_t slot) const -> std::string
 {
     return m_prefix + std::to_string(slot);
 }
 
-auto RendezvousKeeper::read() -> Task<void>
+auto RendezvousService::read() -> Task<void>
 {
     const auto isRead = co_await readHolders();
     if (isRead)
@@ -105,8 +105,8 @@
         m_slots.didFail(monotonicNow());
 }
 
-/// Reads the keys of all failure domains: the own ones are the slots, all of them are ways in.
-auto RendezvousKeeper::readHolders() -> Task<bool>
+/// Reads the keys of all failure domains. Those of the own domain are its slots; all of them are possible first peers.
+auto RendezvousService::readHolders() -> Task<bool>
 {
     const auto prefix = std::string(AllDomainsPrefix);
     auto request = store::RangeRequest{prefix, store::endOfPrefix(prefix)};
@@ -114,10 +114,10 @@
     const auto answer = co_await m_store.range(std::move(request));
     if (!answer.isOk())
         co_return false;
-    m_nextLook = std::max(m_nextLook, monotonicNow() + m_lookDelay);
+    m_nextSearch = std::max(m_nextSearch, monotonicNow() + m_searchDelay);
     const auto keys = readRendezvousKeys(answer.value.pairs, m_prefix, m_settings.slots);
     m_holders = keys.holders;
-    m_knowsOtherDomains = m_knowsOtherDomains || keys.hasOtherDomains;
+    m_hasSeenOtherDomains = m_hasSeenOtherDomains || keys.hasOtherDomains;
     if (keys.ignored != m_ignoredKeys)
         log::Line(log::Severity::Warning, "rendezvous-keys-ignored")
                 .add("prefix", prefix)
@@ -128,18 +128,19 @@
     co_return true;
 }
 
-/// All domains may start at once, and each sees the others' keys only after they are claimed.
-auto RendezvousKeeper::lookForOtherDomains() -> Task<void>
+/// Reads the keys again until another domain is found. All domains may start at once, and their keys exist only after they
+/// have been claimed.
+auto RendezvousService::searchOtherDomains() -> Task<void>
 {
     const auto now = monotonicNow();
-    if (m_knowsOtherDomains || now < m_nextLook)
+    if (m_hasSeenOtherDomains || now < m_nextSearch)
         co_return;
-    m_nextLook = now + m_lookDelay;
-    m_lookDelay = std::min(m_lookDelay * 2, MaxLookDelay);
+    m_nextSearch = now + m_searchDelay;
+    m_searchDelay = std::min(m_searchDelay * 2, MaxSearchDelay);
     co_await readHolders();
 }
 
-auto RendezvousKeeper::claim() -> Task<void>
+auto RendezvousService::claim() -> Task<void>
 {
     const auto sentAt = monotonicNow();
     const auto lease = co_await m_store.grantLease(m_settings.leaseTime);
@@ -167,7 +168,7 @@
         co_await m_store.revokeLease(m_lease);
 }
 
-auto RendezvousKeeper::renew() -> Task<void>
+auto RendezvousService::renew() -> Task<void>
 {
     const auto sentAt = monotonicNow();
     const auto answer = co_await m_store.keepLeaseAlive(m_lease);
--- a/source/node/StatusReport.cpp
+++ b/source/node/StatusReport.cpp
@@ -8,16 +8,17 @@
 
 namespace stairspur::node {
 
-/// How many nodes of each failure domain have which version in force, this node included.
+/// Returns the number of nodes of each failure domain by configuration version in force, including this node.
 static auto versionsByDomain(const NodeSettings &settings, const NodeBoard &board,
-                             const HeardVersions &heard, std::uint64_t ownVersion) -> nlohmann::json
+                             const ReportedVersionMap &reported, std::uint64_t ownVersion)
+        -> nlohmann::json
 {
     auto counts = std::map<std::string, std::map<std::string, std::uint64_t>>();
     counts[settings.failureDomain][std::to_string(ownVersion)] = 1;
     const auto view = board.members.read();
     for (const auto &it : view->members) {
-        const auto found = heard.find(it.node);
-        if (it.node != settings.nodeId() && found != heard.end())
+        const auto found = reported.find(it.node);
+        if (it.node != settings.nodeId() && found != reported.end())
             ++counts[it.domain][std::to_string(found->second.version)];
     }
     return counts;
@@ -28,21 +29,21 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-/// Null where nothing is known.
+/// Returns null if `duration` is empty.
 static auto toSeconds(const std::optional<Duration> &duration) -> nlohmann::json
 {
     return duration ? nlohmann::json(toSeconds(*duration)) : nlohmann::json();
 }
 
 static auto configurationReport(const NodeSettings &settings, const NodeBoard &board,
-                                const HeardVersions &heard, TimePoint now) -> nlohmann::json
+                                const ReportedVersionMap &reported, TimePoint now) -> nlohmann::json
 {
     const auto index = *board.configuration.read();
     const auto version = index ? index->configuration()->version : 0;
     return {
             {"version", version},
             {"hash", index ? index->configuration()->hash : std::string()},
-            {"domains", versionsByDomain(settings, board, heard, version)},
+            {"domains", versionsByDomain(settings, board, reported, version)},
             {"provenSecondsAgo", toSeconds(board.configurationProof.read()->age(now))},
     };
 }
@@ -64,29 +65,30 @@
             {"suspect", summary.suspect},   {"dead", summary.dead},
             {"left", summary.left},         {"serving", summary.serving},
             {"draining", summary.draining}, {"starting", summary.starting},
-            {"cutOff", summary.isCutOff},   {"heardSecondsAgo", toSeconds(summary.heardAge)},
+            {"cutOff", summary.isCutOff},   {"heardSecondsAgo", toSeconds(summary.lastSeenAge)},
     };
 }
 
-static auto domainReports(const membership::MembershipView &view, const HeardVersions &heard,
-                          const NodeId &self) -> nlohmann::json
+static auto domainReports(const membership::MembershipView &view,
+                          const ReportedVersionMap &reported, const NodeId &self) -> nlohmann::json
 {
     auto reports = nlohmann::json::array();
-    for (const auto &[name, summary] : summarizeDomains(view, heard, self))
+    for (const auto &[name, summary] : summarizeDomains(view, reported, self))
         reports.push_back(domainReport(name, summary));
     return reports;
 }
 
-/// How long ago the node itself was heard; null when that was long ago or never, as with most nodes of other domains,
-/// which relays speak for.
-static auto heardSecondsAgo(const HeardVersions &heard, const NodeId &node) -> nlohmann::json
+/// Returns the time since the latest report of the node itself; null if there is no recent one, as for most nodes of other
+/// failure domains, whose records arrive through relays.
+static auto secondsSinceReport(const ReportedVersionMap &reported, const NodeId &node)
+        -> nlohmann::json
 {
-    const auto it = heard.find(node);
-    return it == heard.end() ? nlohmann::json() : nlohmann::json(toSeconds(it->second.age));
+    const auto it = reported.find(node);
+    return it == reported.end() ? nlohmann::json() : nlohmann::json(toSeconds(it->second.age));
 }
 
-/// How long the node has been taken for suspect or dead; null while it is alive.
-static auto judgedSecondsAgo(const LivenessHistory &history, const NodeId &node, TimePoint now)
+/// Returns how long the node has been suspect or dead; null while it is alive.
+static auto secondsSinceJudgement(const LivenessHistory &history, const NodeId &node, TimePoint now)
         -> nlohmann::json
 {
     const auto since = history.since(node);
@@ -95,7 +97,7 @@
     return toSeconds(std::chrono::duration_cast<Duration>(now - *since));
 }
 
-static auto memberReport(const membership::Member &member, const HeardVersions &heard,
+static auto memberReport(const membership::Member &member, const ReportedVersionMap &reported,
                          const LivenessHistory &history, TimePoint now) -> nlohmann::json
 {
     return {
@@ -106,12 +108,12 @@
             {"state", nameOf(member.state)},
             {"liveness", nameOf(member.liveness)},
             {"slots", member.slots},
-            {"heardSecondsAgo", heardSecondsAgo(heard, member.node)},
-            {"judgedSecondsAgo", judgedSecondsAgo(history, member.node, now)},
+            {"heardSecondsAgo", secondsSinceReport(reported, member.node)},
+            {"judgedSecondsAgo", secondsSinceJudgement(history, member.node, now)},
     };
 }
 
-/// Requests of this node's service that are on trial or refused.
+/// Returns the suspected and the refused requests of this node's service.
 static auto quarantineReport(const NodeBoard &board) -> nlohmann::json
 {
     auto reports = nlohmann::json::array();
@@ -124,20 +126,21 @@
     return reports;
 }
 
-auto statusReport(const NodeSettings &settings, const NodeBoard &board, const HeardVersions &heard,
-                  const LivenessHistory &history, TimePoint now) -> std::string
+auto statusReport(const NodeSettings &settings, const NodeBoard &board,
+                  const ReportedVersionMap &reported, const LivenessHistory &history, TimePoint now)
+        -> std::string
 {
     auto members = nlohmann::json::array();
     const auto view = board.members.read();
     for (const auto &it : view->members)
-        members.push_back(memberReport(it, heard, history, now));
+        members.push_back(memberReport(it, reported, history, now));
     const auto report = nlohmann::json{
             {"node", settings.nodeId()},
             {"failureDomain", settings.failureDomain},
             {"state", nameOf(*board.stage.read())},
-            {"configuration", configurationReport(settings, board, heard, now)},
+            {"configuration", configurationReport(settings, board, reported, now)},
             {"backend", backendReport(*board.backend.read())},
-            {"domains", domainReports(*view, heard, settings.nodeId())},
+            {"domains", domainReports(*view, reported, settings.nodeId())},
             {"quarantine", quarantineReport(board)},
             {"members", std::move(members)},
     };
--- a/tests/node/TestStatusReport.cpp
+++ b/tests/node/TestStatusReport.cpp
@@ -21,7 +21,7 @@
     return member;
 }
 
-Test(DomainSummary, saysWhichDomainIsCutOff)
+Test(DomainSummary, marksDomainsThatAreCutOff)
 {
     struct
     {
@@ -38,16 +38,16 @@
             {"suspect and dead",
              {member("a", "d", Liveness::Suspect), member("b", "d", Liveness::Dead)},
              true},
-            {"all said goodbye", {member("a", "d", Liveness::Dead, ServingState::Left)}, false},
-            {"goodbye and death",
+            {"all left", {member("a", "d", Liveness::Dead, ServingState::Left)}, false},
+            {"left and dead",
              {member("a", "d", Liveness::Dead, ServingState::Left),
               member("b", "d", Liveness::Dead)},
              true},
             {"alive without backend server",
              {member("a", "d", Liveness::Alive, ServingState::Left)},
              false},
-            {"this node alone", {member("self", "d", Liveness::Alive)}, false},
-            {"this node and silent ones",
+            {"this node only", {member("self", "d", Liveness::Alive)}, false},
+            {"this node and a suspect one",
              {member("self", "d", Liveness::Alive), member("b", "d", Liveness::Suspect)},
              true},
     };
@@ -57,16 +57,16 @@
     }
 }
 
-Test(DomainSummary, countsMembersAndTakesTheLatestWord)
+Test(DomainSummary, countsMembersAndTakesTheLatestReport)
 {
-    const auto heard = HeardVersions{
+    const auto reported = ReportedVersionMap{
             {"self", {1, Duration{1}}}, {"a", {1, Duration{500}}}, {"b", {1, Duration{300}}}};
     const auto view = membership::MembershipView{
             {member("self", "d", Liveness::Alive), member("a", "d", Liveness::Suspect),
              member("b", "d", Liveness::Alive, ServingState::Draining),
              member("c", "d", Liveness::Dead, ServingState::Left),
              member("x", "e", Liveness::Alive, ServingState::Starting)}};
-    const auto domains = summarizeDomains(view, heard, "self");
+    const auto domains = summarizeDomains(view, reported, "self");
     const auto &own = domains.at("d");
     cr_assert_eq(own.alive, 2);
     cr_assert_eq(own.suspect, 1);
@@ -74,27 +74,27 @@
     cr_assert_eq(own.left, 1);
     cr_assert_eq(own.serving, 1);
     cr_assert_eq(own.draining, 1);
-    cr_assert_eq(own.heardAge->count(), 300);
+    cr_assert_eq(own.lastSeenAge->count(), 300);
     cr_assert_eq(domains.at("e").starting, 1);
-    cr_assert(!domains.at("e").heardAge);
+    cr_assert(!domains.at("e").lastSeenAge);
 }
 
-Test(LivenessHistory, remembersSinceWhenANodeIsJudged)
+Test(LivenessHistory, recordsSinceWhenANodeIsSuspectOrDead)
 {
     auto history = LivenessHistory();
     const auto at = [](int seconds) { return TimePoint(std::chrono::seconds(seconds)); };
-    history.didSee({{member("a", "d", Liveness::Alive)}}, at(1));
+    history.didChangeView({{member("a", "d", Liveness::Alive)}}, at(1));
     cr_assert(!history.since("a"));
-    history.didSee({{member("a", "d", Liveness::Suspect)}}, at(2));
-    history.didSee({{member("a", "d", Liveness::Suspect)}}, at(3));
+    history.didChangeView({{member("a", "d", Liveness::Suspect)}}, at(2));
+    history.didChangeView({{member("a", "d", Liveness::Suspect)}}, at(3));
     cr_assert(history.since("a") == at(2));
-    history.didSee({{member("a", "d", Liveness::Dead)}}, at(4));
+    history.didChangeView({{member("a", "d", Liveness::Dead)}}, at(4));
     cr_assert(history.since("a") == at(4));
-    history.didSee({{member("a", "d", Liveness::Alive)}}, at(5));
+    history.didChangeView({{member("a", "d", Liveness::Alive)}}, at(5));
     cr_assert(!history.since("a"));
 }
 
-Test(StatusReport, saysHowLongAgoANodeWasHeardAndJudged)
+Test(StatusReport, containsAgesOfReportsAndJudgements)
 {
     auto settings = NodeSettings();
     settings.failureDomain = "d";
@@ -103,10 +103,10 @@
             {member("a", "d", Liveness::Alive), member("b", "e", Liveness::Suspect)}};
     board.members.publish(view);
     auto history = LivenessHistory();
-    history.didSee(view, TimePoint(std::chrono::seconds(10)));
-    const auto heard = HeardVersions{{"a", {7, Duration{1'500'000}}}};
+    history.didChangeView(view, TimePoint(std::chrono::seconds(10)));
+    const auto reported = ReportedVersionMap{{"a", {7, Duration{1'500'000}}}};
     const auto report = nlohmann::json::parse(
-            statusReport(settings, board, heard, history, TimePoint(std::chrono::seconds(14))));
+            statusReport(settings, board, reported, history, TimePoint(std::chrono::seconds(14))));
     const auto &members = report.at("members");
     cr_assert_eq(members[0].at("heardSecondsAgo"), 1.5);
     cr_assert(members[0].at("judgedSecondsAgo").is_null());
