--- a/include/stairspur/distribution/KnownConfiguration.h
+++ b/include/stairspur/distribution/CurrentConfiguration.h
@@ -32,7 +32,7 @@
 ///
 /// Keeping the version of a section's last change, in place of a list of deltas, answers "what changed since version v"
 /// for every v since the sections were first loaded, in memory that does not grow with the number of changes.
-class KnownConfiguration
+class CurrentConfiguration
 {
 public:
     /// A step forward that has been put together but is not in force yet.
--- a/include/stairspur/distribution/DistributionContext.h
+++ b/include/stairspur/distribution/DistributionContext.h
@@ -9,7 +9,7 @@
 #include <stairspur/core/Random.h>
 #include <stairspur/core/Time.h>
 #include <stairspur/distribution/Actions.h>
-#include <stairspur/distribution/KnownConfiguration.h>
+#include <stairspur/distribution/CurrentConfiguration.h>
 #include <stairspur/distribution/Messages.h>
 #include <stairspur/distribution/RelayRank.h>
 
@@ -76,7 +76,7 @@
 struct Adoption
 {
     std::uint64_t version = 0;
-    KnownConfiguration::Candidate candidate;
+    CurrentConfiguration::Candidate candidate;
     NewsSource source = NewsSource::Read;
     NodeId from; ///< Empty: the store.
 };
@@ -90,7 +90,7 @@
     bool hasStore = false;
     Random random;
 
-    KnownConfiguration known;
+    CurrentConfiguration current;
     std::vector<Peer> peers;         ///< Alive, without this node.
     std::vector<NodeId> domainPeers; ///< Those of its own domain.
     std::vector<NodeId>
@@ -111,12 +111,12 @@
         actions.emplace_back(SendDatagram{to, std::move(payload)});
     }
 
-    auto tell(const NodeId &to) -> void { send(to, {DatagramKind::News, known.digest(), 0, {}}); }
+    auto tell(const NodeId &to) -> void { send(to, {DatagramKind::News, current.digest(), 0, {}}); }
 
     auto raise(AlarmKind kind, Digest seen, std::string from) -> void
     {
         counters.alarms += 1;
-        actions.emplace_back(Alarm{kind, known.digest(), std::move(seen), std::move(from)});
+        actions.emplace_back(Alarm{kind, current.digest(), std::move(seen), std::move(from)});
     }
 
     /// A random peer, of the own domain while there is one; empty when this node is alone.
--- a/include/stairspur/distribution/DistributionState.h
+++ b/include/stairspur/distribution/DistributionState.h
@@ -78,8 +78,8 @@
             m_otherDomains.push_back(std::move(members));
     }
 
-    [[nodiscard]] auto digest() const -> Digest { return m_context.known.digest(); }
-    [[nodiscard]] auto known() const -> const KnownConfiguration & { return m_context.known; }
+    [[nodiscard]] auto digest() const -> Digest { return m_context.current.digest(); }
+    [[nodiscard]] auto current() const -> const CurrentConfiguration & { return m_context.current; }
     [[nodiscard]] auto isRelay() const -> bool { return m_context.isRelay; }
     /// When the configuration in force was the store's newest for certain; nothing: not known, or not kept.
     [[nodiscard]] auto provenAt() const -> std::optional<TimePoint>
@@ -118,12 +118,12 @@
     [[nodiscard]] auto serve(std::string_view payload) const -> std::string
     {
         const auto request = decodePullRequest(payload);
-        const auto &known = m_context.known;
+        const auto &current = m_context.current;
         auto reply = PullReply();
-        reply.digest = known.digest();
-        reply.since = known.hasChangesSince(request.since) ? request.since : 0;
+        reply.digest = current.digest();
+        reply.since = current.hasChangesSince(request.since) ? request.since : 0;
         reply.piece =
-                known.changesSince(reply.since, request.cursor, m_context.settings.pieceBytes);
+                current.changesSince(reply.since, request.cursor, m_context.settings.pieceBytes);
         return encode(reply);
     }
 
@@ -225,7 +225,7 @@
 
     auto handle(const NodeId &from, const ConfigDatagram &datagram, TimePoint now) -> void
     {
-        const auto version = m_context.known.version();
+        const auto version = m_context.current.version();
         switch (datagram.kind) {
         case DatagramKind::News:
             // Whoever tells of an older version has missed this one.
@@ -253,12 +253,12 @@
 
     auto answerAsk(const NodeId &from, const Digest &theirs) -> void
     {
-        const auto &known = m_context.known;
-        if (theirs.version >= known.version())
+        const auto &current = m_context.current;
+        if (theirs.version >= current.version())
             return m_context.tell(from);
-        auto reply = ConfigDatagram{DatagramKind::Large, known.digest(), theirs.version, {}};
-        if (known.hasChangesSince(theirs.version)) {
-            auto piece = known.changesSince(theirs.version, {}, m_context.settings.datagramBytes);
+        auto reply = ConfigDatagram{DatagramKind::Large, current.digest(), theirs.version, {}};
+        if (current.hasChangesSince(theirs.version)) {
+            auto piece = current.changesSince(theirs.version, {}, m_context.settings.datagramBytes);
             reply.changes = std::move(piece.changes);
             reply.kind = piece.isLast ? DatagramKind::Delta : DatagramKind::Large;
         }
@@ -270,7 +270,7 @@
     auto note(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
         m_context.lastHeard = now;
-        const auto own = m_context.known.digest();
+        const auto own = m_context.current.digest();
         if (digest.version == own.version && digest != own)
             didSeeTwoHashes(from, digest, now);
         m_fetch.didHear(from, digest, now);
@@ -289,9 +289,9 @@
         if (!adoption)
             return;
         const auto seen = digestOf(adoption->version, adoption->candidate.hash);
-        if (!isNewer<Policy>(seen, m_context.known.digest()))
+        if (!isNewer<Policy>(seen, m_context.current.digest()))
             return;
-        m_context.known.adopt(adoption->version, std::move(adoption->candidate));
+        m_context.current.adopt(adoption->version, std::move(adoption->candidate));
         m_context.counters.adoptions += 1;
         m_context.actions.emplace_back(Publish{adoption->source, adoption->from});
         tellPeers(adoption->from);
--- a/include/stairspur/distribution/Freshness.h
+++ b/include/stairspur/distribution/Freshness.h
@@ -170,7 +170,7 @@
     {
         if (proof.version == 0 || proof.at > now)
             return;
-        if (Policy::WaitsForVersion && proof.version > m_context.known.version()) {
+        if (Policy::WaitsForVersion && proof.version > m_context.current.version()) {
             if (proof.at > m_pending.at)
                 m_pending = proof;
             return;
@@ -193,7 +193,7 @@
 
     auto confirm(const NodeId &to, const Subscriber &subscriber) -> void
     {
-        auto datagram = ConfigDatagram{DatagramKind::Confirm, m_context.known.digest(), 0, {}};
+        auto datagram = ConfigDatagram{DatagramKind::Confirm, m_context.current.digest(), 0, {}};
         datagram.confirmation = {subscriber.subscription, m_proof.version,
                                  m_proof.at - subscriber.heardAt};
         m_context.send(to, datagram);
@@ -201,7 +201,7 @@
 
     auto ask(const NodeId &to, TimePoint now) -> void
     {
-        auto datagram = ConfigDatagram{DatagramKind::Subscribe, m_context.known.digest(), 0, {}};
+        auto datagram = ConfigDatagram{DatagramKind::Subscribe, m_context.current.digest(), 0, {}};
         datagram.confirmation.subscription = m_context.random();
         m_asks.push_back({to, datagram.confirmation.subscription, now});
         m_context.send(to, datagram);
--- a/include/stairspur/distribution/HeadFollower.h
+++ b/include/stairspur/distribution/HeadFollower.h
@@ -39,7 +39,7 @@
         m_backoff.reset();
         noteWhetherBehind(head, isAnswer);
         if (!head
-            || !isNewer<Policy>(digestOf(head->version, head->hash), m_context.known.digest()))
+            || !isNewer<Policy>(digestOf(head->version, head->hash), m_context.current.digest()))
             return std::nullopt;
         m_head = *head;
         m_headSource = source;
@@ -57,11 +57,11 @@
     auto didReadSections(const Blobs &blobs, TimePoint now) -> std::optional<Adoption>
     {
         m_isReadingSections = false;
-        if (!isNewer<Policy>(digestOf(m_loading.version, m_loading.hash), m_context.known.digest()))
+        if (!isNewer<Policy>(digestOf(m_loading.version, m_loading.hash), m_context.current.digest()))
             return next(now);
         auto changes = m_isWhole ? wholeOf(blobs) : changesOf(blobs);
         if (changes) {
-            auto candidate = m_context.known.assemble(*changes, m_isWhole);
+            auto candidate = m_context.current.assemble(*changes, m_isWhole);
             if (candidate.hash == m_loading.hash || !Policy::VerifiesHash) {
                 m_context.counters.wholeLoads += m_isWhole ? 1 : 0;
                 return Adoption{m_loading.version, std::move(candidate), m_loadingSource, {}};
@@ -120,7 +120,7 @@
         const auto &settings = m_context.settings;
         if (m_context.isRelay)
             return m_isReadWanted || (Policy::PollsHead && now >= m_nextRead);
-        if (m_context.known.version() == 0)
+        if (m_context.current.version() == 0)
             return now - m_start >= settings.freshStoreDelay;
         return now - std::max(m_context.lastHeard, m_start) >= settings.staleAfter;
     }
@@ -145,7 +145,7 @@
     {
         const auto &settings = m_context.settings;
         const auto base =
-                m_context.known.version() == 0 ? settings.freshStoreDelay : settings.staleAfter;
+                m_context.current.version() == 0 ? settings.freshStoreDelay : settings.staleAfter;
         return Duration{static_cast<std::int64_t>(static_cast<double>(base.count())
                                                   * (0.5 + randomUnit(m_context.random)))};
     }
@@ -153,7 +153,7 @@
     auto noteWhetherBehind(const std::optional<Head> &head, bool isAnswer) -> void
     {
         const auto seen = head ? digestOf(head->version, head->hash) : Digest();
-        const auto own = m_context.known.digest();
+        const auto own = m_context.current.digest();
         if (seen.version >= own.version) {
             m_readsBehind = 0;
             if (seen.version == own.version && seen != own && m_alarmed != seen) {
@@ -178,8 +178,8 @@
         m_loading = m_head;
         m_loadingSource = m_headSource;
         m_needed.clear();
-        const auto known = m_context.known.version();
-        const auto changes = known > 0 ? m_head.changesSince(known) : std::nullopt;
+        const auto current = m_context.current.version();
+        const auto changes = current > 0 ? m_head.changesSince(current) : std::nullopt;
         m_isWhole = !changes;
         if (m_isWhole) {
             read({});
@@ -206,7 +206,7 @@
 
     auto next(TimePoint now) -> std::optional<Adoption>
     {
-        if (m_head.version > m_context.known.version())
+        if (m_head.version > m_context.current.version())
             return load(now);
         return std::nullopt;
     }
--- a/include/stairspur/distribution/Messages.h
+++ b/include/stairspur/distribution/Messages.h
@@ -6,7 +6,7 @@
 
 #include <stairspur/core/EnumNames.h>
 #include <stairspur/distribution/Digest.h>
-#include <stairspur/distribution/KnownConfiguration.h>
+#include <stairspur/distribution/CurrentConfiguration.h>
 
 /// What nodes tell each other about configurations, in CBOR.
 namespace stairspur::distribution {
--- a/include/stairspur/distribution/PeerFetch.h
+++ b/include/stairspur/distribution/PeerFetch.h
@@ -26,7 +26,7 @@
     /// Notes who has a newer version.
     auto didHear(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
-        if (!isNewer<Policy>(digest, m_context.known.digest())) {
+        if (!isNewer<Policy>(digest, m_context.current.digest())) {
             if (m_stage == Stage::Asking && m_peer == from)
                 didFail(now); // Asked, and has nothing newer after all.
             return;
@@ -42,10 +42,10 @@
     auto didReceiveDelta(const NodeId &from, const ConfigDatagram &delta, TimePoint now)
             -> std::optional<Adoption>
     {
-        const auto &known = m_context.known;
-        if (!isNewer<Policy>(delta.digest, known.digest()) || delta.since > known.version())
+        const auto &current = m_context.current;
+        if (!isNewer<Policy>(delta.digest, current.digest()) || delta.since > current.version())
             return std::nullopt;
-        auto candidate = known.assemble(delta.changes, false);
+        auto candidate = current.assemble(delta.changes, false);
         if (isTrue(candidate, delta.digest))
             return Adoption{delta.digest.version, std::move(candidate), NewsSource::Delta, from};
         if (m_stage == Stage::Asking && m_peer == from)
@@ -57,7 +57,7 @@
     auto didHearLarge(const NodeId &from, TimePoint now) -> void
     {
         if (m_stage == Stage::Asking && m_peer == from)
-            pull(m_context.known.version(), now);
+            pull(m_context.current.version(), now);
     }
 
     auto didReceiveReply(std::uint64_t id, const PullReply &reply, TimePoint now)
@@ -65,7 +65,7 @@
     {
         if (m_stage != Stage::Pulling || id != m_requestId)
             return std::nullopt;
-        if (!isNewer<Policy>(reply.digest, m_context.known.digest())) {
+        if (!isNewer<Policy>(reply.digest, m_context.current.digest())) {
             didFail(now);
             return std::nullopt;
         }
@@ -96,7 +96,7 @@
     {
         m_backoff.reset();
         m_notBefore = now;
-        if (m_newest <= m_context.known.version())
+        if (m_newest <= m_context.current.version())
             m_sources.clear();
         m_stage = Stage::Idle;
         startIfDue(now);
@@ -120,9 +120,9 @@
     static constexpr auto MaxRestarts = 5U;
     static constexpr auto MaxAsks = 2U;
 
-    [[nodiscard]] auto isFresh() const -> bool { return m_context.known.version() == 0; }
+    [[nodiscard]] auto isFresh() const -> bool { return m_context.current.version() == 0; }
 
-    auto isTrue(const KnownConfiguration::Candidate &candidate, const Digest &digest) -> bool
+    auto isTrue(const CurrentConfiguration::Candidate &candidate, const Digest &digest) -> bool
     {
         if constexpr (!Policy::VerifiesHash)
             return true;
@@ -135,7 +135,7 @@
     auto startIfDue(TimePoint now) -> void
     {
         const auto mayAskBlindly = Policy::AsksPeersWhenFresh && isFresh();
-        const auto isBehind = !m_sources.empty() || m_newest > m_context.known.version();
+        const auto isBehind = !m_sources.empty() || m_newest > m_context.current.version();
         if (m_stage != Stage::Idle || now < m_notBefore || !(mayAskBlindly || isBehind))
             return;
         m_peer = takeSource();
@@ -163,7 +163,7 @@
     {
         m_stage = Stage::Asking;
         m_deadline = now + m_context.settings.askTimeout;
-        m_context.send(m_peer, {DatagramKind::Ask, m_context.known.digest(), 0, {}});
+        m_context.send(m_peer, {DatagramKind::Ask, m_context.current.digest(), 0, {}});
     }
 
     /// An unanswered datagram is sent once more; then a control request asks the same peer, since TCP sends again what
@@ -175,7 +175,7 @@
         if (++m_unanswered < MaxAsks)
             ask(now);
         else
-            pull(m_context.known.version(), now);
+            pull(m_context.current.version(), now);
     }
 
     auto pull(std::uint64_t since, TimePoint now) -> void
@@ -225,7 +225,7 @@
 
     auto didCollect(TimePoint now) -> std::optional<Adoption>
     {
-        auto candidate = m_context.known.assemble(m_collected, m_isWhole);
+        auto candidate = m_context.current.assemble(m_collected, m_isWhole);
         if (isTrue(candidate, m_digest)) {
             m_context.counters.wholeLoads += m_isWhole ? 1 : 0;
             return Adoption{m_digest.version, std::move(candidate), NewsSource::Pull, m_peer};
--- a/source/distribution/KnownConfiguration.cpp
+++ b/source/distribution/CurrentConfiguration.cpp
@@ -1,4 +1,4 @@
-#include <stairspur/distribution/KnownConfiguration.h>
+#include <stairspur/distribution/CurrentConfiguration.h>
 
 #include <utility>
 
@@ -16,13 +16,13 @@
     return sum;
 }
 
-auto KnownConfiguration::find(const std::string &name) const -> const std::string *
+auto CurrentConfiguration::find(const std::string &name) const -> const std::string *
 {
     const auto it = m_sections.find(name);
     return it == m_sections.end() ? nullptr : it->second.get();
 }
 
-auto KnownConfiguration::sections() const -> config::Sections
+auto CurrentConfiguration::sections() const -> config::Sections
 {
     auto copy = config::Sections();
     for (const auto &[name, bytes] : m_sections)
@@ -30,7 +30,7 @@
     return copy;
 }
 
-auto KnownConfiguration::assemble(const Changes &changes, bool isWhole) const -> Candidate
+auto CurrentConfiguration::assemble(const Changes &changes, bool isWhole) const -> Candidate
 {
     auto candidate = Candidate();
     if (!isWhole) {
@@ -49,7 +49,7 @@
     return candidate;
 }
 
-auto KnownConfiguration::adopt(std::uint64_t version, Candidate candidate) -> void
+auto CurrentConfiguration::adopt(std::uint64_t version, Candidate candidate) -> void
 {
     noteRemoved(candidate, version);
     for (const auto &[name, hash] : candidate.hashes) {
@@ -66,7 +66,7 @@
     m_hashes = std::move(candidate.hashes);
 }
 
-auto KnownConfiguration::noteRemoved(const Candidate &candidate, std::uint64_t version) -> void
+auto CurrentConfiguration::noteRemoved(const Candidate &candidate, std::uint64_t version) -> void
 {
     for (const auto &[name, hash] : m_hashes) {
         if (candidate.hashes.contains(name))
@@ -81,7 +81,7 @@
     m_firstVersion = version;
 }
 
-auto KnownConfiguration::changesSince(std::uint64_t version, const std::string &cursor,
+auto CurrentConfiguration::changesSince(std::uint64_t version, const std::string &cursor,
                                       std::size_t maxBytes) const -> ChangesPiece
 {
     const auto since = hasChangesSince(version) ? version : 0;
--- a/source/distribution/DistributionService.cpp
+++ b/source/distribution/DistributionService.cpp
@@ -288,21 +288,21 @@
 
     auto carryOut(const Publish &news) -> void
     {
-        const auto &known = m_state.known();
+        const auto &current = m_state.current();
         auto next = std::make_shared<config::VersionedConfiguration>();
-        next->version = known.version();
-        next->hash = known.hash();
+        next->version = current.version();
+        next->hash = current.hash();
         try {
-            next->configuration = config::joinSections(known.sections());
+            next->configuration = config::joinSections(current.sections());
         } catch (const config::SectionError &error) {
             log::Line(log::Severity::Error, "configuration-unreadable")
-                    .add("version", known.version())
+                    .add("version", current.version())
                     .add("error", error.what());
             return;
         }
         log::Line(log::Severity::Info, "configuration-in-force")
-                .add("version", known.version())
-                .add("hash", known.hash())
+                .add("version", current.version())
+                .add("hash", current.hash())
                 .add("source", news.source)
                 .add("from", news.from);
         m_parts.didPublish(std::move(next));
@@ -373,12 +373,12 @@
 
 auto DistributionService::version() const -> std::uint64_t
 {
-    return m_runner->state().known().version();
+    return m_runner->state().current().version();
 }
 
 auto DistributionService::hash() const -> std::string
 {
-    return m_runner->state().known().hash();
+    return m_runner->state().current().hash();
 }
 
 auto DistributionService::isRelay() const -> bool
--- a/tests/distribution/DistributionScenarios.h
+++ b/tests/distribution/DistributionScenarios.h
@@ -40,8 +40,8 @@
     for (const auto &[id, node] : cluster.nodes) {
         if (!std::ranges::is_sorted(node.versions, std::less_equal<>()))
             found.push_back(name + ": " + id + " went back");
-        const auto hash = config::hashOf(node.state->known().sections());
-        if (node.state->known().version() > 0 && hash != node.state->known().hash())
+        const auto hash = config::hashOf(node.state->current().sections());
+        if (node.state->current().version() > 0 && hash != node.state->current().hash())
             found.push_back(name + ": " + id + " has sections of two versions");
     }
 }
@@ -54,8 +54,8 @@
     if (!cluster.runUntilCovered(limit)) {
         auto missing = std::string();
         for (const auto &[id, node] : cluster.nodes) {
-            if (node.isAlive && node.state->known().hash() != cluster.store.head().hash)
-                missing += " " + id + " has " + std::to_string(node.state->known().version());
+            if (node.isAlive && node.state->current().hash() != cluster.store.head().hash)
+                missing += " " + id + " has " + std::to_string(node.state->current().version());
         }
         found.push_back(name + ": version " + std::to_string(cluster.store.head().version)
                         + " is not in force everywhere:" + missing);
@@ -313,7 +313,7 @@
         auto alarms = std::size_t{0};
         for (const auto &[id, node] : cluster.nodes) {
             alarms += node.alarms.size();
-            if (node.state->known().hash() != first)
+            if (node.state->current().hash() != first)
                 found.push_back("two hashes: " + id + " let the first go");
         }
         if (alarms == 0)
@@ -367,7 +367,7 @@
     auto alarms = std::size_t{0};
     for (const auto &[id, node] : cluster.nodes) {
         alarms += node.alarms.size();
-        if (node.state->known().version() != 2)
+        if (node.state->current().version() != 2)
             found.push_back("store behind: " + id + " went back");
     }
     if (alarms == 0)
--- a/tests/distribution/FakeCluster.h
+++ b/tests/distribution/FakeCluster.h
@@ -167,7 +167,7 @@
     [[nodiscard]] auto isCovered(const std::string &hash) const -> bool
     {
         return std::ranges::all_of(nodes, [&](const auto &it) {
-            return !it.second.isAlive || it.second.state->known().hash() == hash;
+            return !it.second.isAlive || it.second.state->current().hash() == hash;
         });
     }
 
@@ -383,7 +383,7 @@
     auto carryOut(const NodeId &id, const Publish &news) -> void
     {
         nodes[id].sources.push_back(news.source);
-        nodes[id].versions.push_back(nodes[id].state->known().version());
+        nodes[id].versions.push_back(nodes[id].state->current().version());
         nodes[id].lastAdoption = now;
     }
 
--- a/tests/distribution/FreshnessFleet.h
+++ b/tests/distribution/FreshnessFleet.h
@@ -98,7 +98,7 @@
             ++refused;
             return;
         }
-        const auto version = cluster.nodes.at(id).state->known().version();
+        const auto version = cluster.nodes.at(id).state->current().version();
         // Versions count from 1 in the order in which they were applied.
         for (auto later = version; later < m_acknowledged.size(); ++later) {
             if (m_acknowledged[later] + RevocationBound <= cluster.now)
--- a/tests/distribution/TestWholeItem.cpp
+++ b/tests/distribution/TestWholeItem.cpp
@@ -42,8 +42,8 @@
 {
     auto state = DistributionState<>("n", "north", {}, true, 1);
     watchItem(state, makeItem(7, 2));
-    cr_assert_eq(state.known().version(), 7);
-    const auto configuration = config::joinSections(state.known().sections());
+    cr_assert_eq(state.current().version(), 7);
+    const auto configuration = config::joinSections(state.current().sections());
     cr_assert_eq(configuration.routes.size(), 1);
     cr_assert_eq(configuration.routes[0].pathPrefix, "/v/");
     cr_assert_eq(configuration.routes[0].maxAttempts, 2);
@@ -56,8 +56,8 @@
     watchItem(state, makeItem(7, 2));
     watchItem(state, makeItem(12, 3));
     watchItem(state, makeItem(9, 4));
-    cr_assert_eq(state.known().version(), 12);
-    cr_assert_eq(config::joinSections(state.known().sections()).routes[0].maxAttempts, 3);
+    cr_assert_eq(state.current().version(), 12);
+    cr_assert_eq(config::joinSections(state.current().sections()).routes[0].maxAttempts, 3);
 }
 
 Test(WholeItem, allHostsGiveOneItemOneHash)
