--- a/include/stairspur/distribution/Actions.h
+++ b/include/stairspur/distribution/Actions.h
@@ -47,7 +47,7 @@
 };
 
 /// How a node came by a configuration.
-enum class NewsSource {
+enum class ConfigurationSource {
     Watch, ///< A message of its watch of the store.
     Read,  ///< Its own read of the store.
     Delta, ///< A peer's datagram.
@@ -57,7 +57,7 @@
 /// Another configuration is in force: hand it to the node.
 struct Publish
 {
-    NewsSource source = NewsSource::Read;
+    ConfigurationSource source = ConfigurationSource::Read;
     NodeId from; ///< Empty: the store.
 };
 
@@ -99,7 +99,7 @@
 } // namespace stairspur::distribution
 
 template <>
-inline constexpr auto stairspur::enumNames<stairspur::distribution::NewsSource> =
+inline constexpr auto stairspur::enumNames<stairspur::distribution::ConfigurationSource> =
         std::array<std::string_view, 4>{"watch", "read", "delta", "pull"};
 
 template <>
--- a/include/stairspur/distribution/DistributionContext.h
+++ b/include/stairspur/distribution/DistributionContext.h
@@ -77,7 +77,7 @@
 {
     std::uint64_t version = 0;
     CurrentConfiguration::Candidate candidate;
-    NewsSource source = NewsSource::Read;
+    ConfigurationSource source = ConfigurationSource::Read;
     NodeId from; ///< Empty: the store.
 };
 
--- a/include/stairspur/distribution/DistributionState.h
+++ b/include/stairspur/distribution/DistributionState.h
@@ -148,7 +148,7 @@
     /// The answer to ReadHead; nothing when the store has no head.
     auto didReadHead(const std::optional<Head> &head, TimePoint now) -> void
     {
-        adopt(m_follower.didReadHead(head, NewsSource::Read, now), now);
+        adopt(m_follower.didReadHead(head, ConfigurationSource::Read, now), now);
     }
 
     /// After didReadHead(): the read was sent at `sentAt`, so that this head was the newest then.
@@ -173,7 +173,7 @@
     /// A message of a relay's watch.
     auto didWatchHead(const Head &head, TimePoint now) -> void
     {
-        adopt(m_follower.didReadHead(head, NewsSource::Watch, now), now);
+        adopt(m_follower.didReadHead(head, ConfigurationSource::Watch, now), now);
     }
 
     /// Returns the pause before the next watch.
--- a/include/stairspur/distribution/HeadFollower.h
+++ b/include/stairspur/distribution/HeadFollower.h
@@ -28,10 +28,10 @@
     {}
 
     /// A watch's message, or the answer to ReadHead. Nothing: the store has no head.
-    auto didReadHead(const std::optional<Head> &head, NewsSource source, TimePoint now)
+    auto didReadHead(const std::optional<Head> &head, ConfigurationSource source, TimePoint now)
             -> std::optional<Adoption>
     {
-        const auto isAnswer = source == NewsSource::Read;
+        const auto isAnswer = source == ConfigurationSource::Read;
         if (isAnswer)
             m_isReadingHead = false;
         m_context.lastHeard = now;
@@ -270,9 +270,9 @@
     bool m_isReadingSections = false;
     bool m_isWhole = false;
     Head m_head; ///< The newest that was seen.
-    NewsSource m_headSource = NewsSource::Read;
+    ConfigurationSource m_headSource = ConfigurationSource::Read;
     Head m_loading; ///< The one whose sections are being read.
-    NewsSource m_loadingSource = NewsSource::Read;
+    ConfigurationSource m_loadingSource = ConfigurationSource::Read;
     std::map<std::string, std::string> m_needed;
     std::uint32_t m_readsBehind = 0;
     Digest m_alarmed;
--- a/include/stairspur/distribution/PeerFetch.h
+++ b/include/stairspur/distribution/PeerFetch.h
@@ -47,7 +47,7 @@
             return std::nullopt;
         auto candidate = current.assemble(delta.changes, false);
         if (isTrue(candidate, delta.digest))
-            return Adoption{delta.digest.version, std::move(candidate), NewsSource::Delta, from};
+            return Adoption{delta.digest.version, std::move(candidate), ConfigurationSource::Delta, from};
         if (m_stage == Stage::Asking && m_peer == from)
             loadWhole(now);
         return std::nullopt;
@@ -228,7 +228,7 @@
         auto candidate = m_context.current.assemble(m_collected, m_isWhole);
         if (isTrue(candidate, m_digest)) {
             m_context.counters.wholeLoads += m_isWhole ? 1 : 0;
-            return Adoption{m_digest.version, std::move(candidate), NewsSource::Pull, m_peer};
+            return Adoption{m_digest.version, std::move(candidate), ConfigurationSource::Pull, m_peer};
         }
         if (m_isWhole)
             didFail(now);
--- a/tests/distribution/FakeNode.h
+++ b/tests/distribution/FakeNode.h
@@ -36,7 +36,7 @@
     FakeConnections connections;
     std::vector<std::function<void()>> waiting; ///< Events that came while it was paused.
     std::vector<std::uint64_t> versions;        ///< All that it took into force since its start.
-    std::vector<NewsSource> sources;            ///< How it came by each of them.
+    std::vector<ConfigurationSource> sources;            ///< How it came by each of them.
     std::vector<Alarm> alarms;
     TimePoint lastAdoption{};
 
--- a/tests/distribution/TestDistributionMatrix.cpp
+++ b/tests/distribution/TestDistributionMatrix.cpp
@@ -111,7 +111,7 @@
     applyNext(cluster, 1);
     check(cluster, 2s, "by watch", found);
     for (const auto &[id, node] : cluster.nodes)
-        cr_expect((node.sources.back() == NewsSource::Watch) == node.state->isRelay());
+        cr_expect((node.sources.back() == ConfigurationSource::Watch) == node.state->isRelay());
     cluster.isWatchSilent = true;
     cluster.hasDigests = false;
     for (auto &[id, node] : cluster.nodes)
@@ -119,7 +119,7 @@
     applyNext(cluster, 2);
     check(cluster, 10s, "by read", found);
     const auto isRead = [](const auto &it) {
-        return std::ranges::count(it.second.sources, NewsSource::Read) > 0;
+        return std::ranges::count(it.second.sources, ConfigurationSource::Read) > 0;
     };
     cr_expect(std::ranges::any_of(cluster.nodes, isRead));
     cr_expect(found.empty());
