--- a/include/stairspur/distribution/DistributionService.h
+++ b/include/stairspur/distribution/DistributionService.h
@@ -81,7 +81,7 @@
     /// The 24 bytes that every membership probe and ack carries.
     [[nodiscard]] auto digest() const -> std::string;
     /// What a probe or ack of `from` carried; empty bytes are passed over, malformed ones counted.
-    auto didHearDigest(const NodeId &from, std::string_view bytes) -> void;
+    auto didReceiveDigest(const NodeId &from, std::string_view bytes) -> void;
 
     /// Version 0: no configuration yet.
     [[nodiscard]] auto version() const -> std::uint64_t;
--- a/include/stairspur/distribution/DistributionState.h
+++ b/include/stairspur/distribution/DistributionState.h
@@ -97,7 +97,7 @@
     }
 
     /// From a membership probe or ack of `from`.
-    auto didHearDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
+    auto didReceiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
         if (!Policy::ListensToDigests)
             return;
--- a/source/distribution/DistributionService.cpp
+++ b/source/distribution/DistributionService.cpp
@@ -53,12 +53,12 @@
         carryOut(CloseWatch{});
     }
 
-    auto didHearDigest(const NodeId &from, std::string_view bytes) -> void
+    auto didReceiveDigest(const NodeId &from, std::string_view bytes) -> void
     {
         if (bytes.empty())
             return;
         try {
-            m_state.didHearDigest(from, decodeDigest(bytes), monotonicNow());
+            m_state.didReceiveDigest(from, decodeDigest(bytes), monotonicNow());
         } catch (const InputError &) {
             ++m_malformedDigests;
         }
@@ -366,9 +366,9 @@
     return m_runner->state().digest().encode();
 }
 
-auto DistributionService::didHearDigest(const NodeId &from, std::string_view bytes) -> void
+auto DistributionService::didReceiveDigest(const NodeId &from, std::string_view bytes) -> void
 {
-    m_runner->didHearDigest(from, bytes);
+    m_runner->didReceiveDigest(from, bytes);
 }
 
 auto DistributionService::version() const -> std::uint64_t
--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -145,7 +145,7 @@
     m_distribution.emplace(io, m_settings.nodeId(), m_settings.failureDomain, settings,
                            std::move(parts), seed);
     m_membership.setAnnotationCallback([this](const NodeId &from, const std::string &bytes) {
-        m_distribution->didHearDigest(from, bytes);
+        m_distribution->didReceiveDigest(from, bytes);
         m_versionsHeard.didHear(from, bytes, monotonicNow());
     });
 }
--- a/tests/distribution/FakeCluster.h
+++ b/tests/distribution/FakeCluster.h
@@ -260,10 +260,10 @@
         const auto to = *others[randomBelow(random, others.size())];
         const auto digest = nodes[id].state->digest();
         transmit(id, to, [this, id, to, digest] {
-            nodes[to].state->didHearDigest(id, digest, clockOf(to));
+            nodes[to].state->didReceiveDigest(id, digest, clockOf(to));
             const auto own = nodes[to].state->digest();
             transmit(to, id,
-                     [this, id, to, own] { nodes[id].state->didHearDigest(to, own, clockOf(id)); });
+                     [this, id, to, own] { nodes[id].state->didReceiveDigest(to, own, clockOf(id)); });
         });
     }
 
--- a/tests/distribution/TestDistributionService.cpp
+++ b/tests/distribution/TestDistributionService.cpp
@@ -135,7 +135,7 @@
         for (const auto &from : nodes) {
             for (const auto &to : nodes) {
                 if (to != from)
-                    to->service->didHearDigest(from->id, from->service->digest());
+                    to->service->didReceiveDigest(from->id, from->service->digest());
             }
         }
     }
