--- a/include/stairspur/distribution/DistributionContext.h
+++ b/include/stairspur/distribution/DistributionContext.h
@@ -111,7 +111,7 @@
         actions.emplace_back(SendDatagram{to, std::move(payload)});
     }
 
-    auto tell(const NodeId &to) -> void { send(to, {DatagramKind::News, current.digest(), 0, {}}); }
+    auto tell(const NodeId &to) -> void { send(to, {DatagramKind::CurrentVersion, current.digest(), 0, {}}); }
 
     auto raise(AlarmKind kind, Digest seen, std::string from) -> void
     {
--- a/include/stairspur/distribution/DistributionState.h
+++ b/include/stairspur/distribution/DistributionState.h
@@ -227,18 +227,18 @@
     {
         const auto version = m_context.current.version();
         switch (datagram.kind) {
-        case DatagramKind::News:
+        case DatagramKind::CurrentVersion:
             // Whoever tells of an older version has missed this one.
             if (datagram.digest.version < version)
                 m_context.tell(from);
             break;
-        case DatagramKind::Ask:
+        case DatagramKind::ChangesRequest:
             answerAsk(from, datagram.digest);
             break;
         case DatagramKind::Delta:
             adopt(m_fetch.didReceiveDelta(from, datagram, now), now);
             return;
-        case DatagramKind::Large:
+        case DatagramKind::TooLarge:
             m_fetch.didHearLarge(from, now);
             break;
         case DatagramKind::Subscribe:
@@ -256,14 +256,14 @@
         const auto &current = m_context.current;
         if (theirs.version >= current.version())
             return m_context.tell(from);
-        auto reply = ConfigDatagram{DatagramKind::Large, current.digest(), theirs.version, {}};
+        auto reply = ConfigDatagram{DatagramKind::TooLarge, current.digest(), theirs.version, {}};
         if (current.hasChangesSince(theirs.version)) {
             auto piece = current.changesSince(theirs.version, {}, m_context.settings.datagramBytes);
             reply.changes = std::move(piece.changes);
-            reply.kind = piece.isLast ? DatagramKind::Delta : DatagramKind::Large;
+            reply.kind = piece.isLast ? DatagramKind::Delta : DatagramKind::TooLarge;
         }
         if (encode(reply).size() > m_context.settings.datagramBytes)
-            reply.kind = DatagramKind::Large;
+            reply.kind = DatagramKind::TooLarge;
         m_context.send(from, reply);
     }
 
--- a/include/stairspur/distribution/Messages.h
+++ b/include/stairspur/distribution/Messages.h
@@ -12,10 +12,10 @@
 namespace stairspur::distribution {
 
 enum class DatagramKind {
-    News,      ///< "This version is in force here."
-    Ask,       ///< "I have this version: what changed since?"
+    CurrentVersion,      ///< "This version is in force here."
+    ChangesRequest,       ///< "I have this version: what changed since?"
     Delta,     ///< What changed, when it fits.
-    Large,     ///< The answer to an Ask that does not fit: use a control request.
+    TooLarge,     ///< The answer to an ChangesRequest that does not fit: use a control request.
     Subscribe, ///< "Tell me under this number whenever you learn that a version is the newest."
     Confirm,   ///< The answers to a Subscribe.
 };
@@ -31,7 +31,7 @@
 
 struct ConfigDatagram
 {
-    DatagramKind kind = DatagramKind::News;
+    DatagramKind kind = DatagramKind::CurrentVersion;
     Digest digest;           ///< Of the sender.
     std::uint64_t since = 0; ///< For Delta: the version that the changes are based on.
     Changes changes;         ///< For Delta.
--- a/include/stairspur/distribution/PeerFetch.h
+++ b/include/stairspur/distribution/PeerFetch.h
@@ -163,7 +163,7 @@
     {
         m_stage = Stage::Asking;
         m_deadline = now + m_context.settings.askTimeout;
-        m_context.send(m_peer, {DatagramKind::Ask, m_context.current.digest(), 0, {}});
+        m_context.send(m_peer, {DatagramKind::ChangesRequest, m_context.current.digest(), 0, {}});
     }
 
     /// An unanswered datagram is sent once more; then a control request asks the same peer, since TCP sends again what
