--- a/include/stairspur/distribution/DistributionContext.h
+++ b/include/stairspur/distribution/DistributionContext.h
@@ -111,7 +111,7 @@
         actions.emplace_back(SendDatagram{to, std::move(payload)});
     }
 
-    auto tell(const NodeId &to) -> void { send(to, {DatagramKind::CurrentVersion, current.digest(), 0, {}}); }
+    auto sendVersion(const NodeId &to) -> void { send(to, {DatagramKind::CurrentVersion, current.digest(), 0, {}}); }
 
     auto raise(AlarmKind kind, Digest seen, std::string from) -> void
     {
--- a/include/stairspur/distribution/DistributionState.h
+++ b/include/stairspur/distribution/DistributionState.h
@@ -230,7 +230,7 @@
         case DatagramKind::CurrentVersion:
             // Whoever tells of an older version has missed this one.
             if (datagram.digest.version < version)
-                m_context.tell(from);
+                m_context.sendVersion(from);
             break;
         case DatagramKind::ChangesRequest:
             answerAsk(from, datagram.digest);
@@ -255,7 +255,7 @@
     {
         const auto &current = m_context.current;
         if (theirs.version >= current.version())
-            return m_context.tell(from);
+            return m_context.sendVersion(from);
         auto reply = ConfigDatagram{DatagramKind::TooLarge, current.digest(), theirs.version, {}};
         if (current.hasChangesSince(theirs.version)) {
             auto piece = current.changesSince(theirs.version, {}, m_context.settings.datagramBytes);
@@ -312,7 +312,7 @@
             const auto other = index + randomBelow(m_context.random, peers.size() - index);
             std::swap(peers[index], peers[other]);
             if (peers[index] != source)
-                m_context.tell(peers[index]);
+                m_context.sendVersion(peers[index]);
         }
     }
 
@@ -323,7 +323,7 @@
         m_nextRound = now + m_context.settings.roundInterval;
         const auto &peers = m_context.domainPeers;
         if (!peers.empty())
-            m_context.tell(peers[randomBelow(m_context.random, peers.size())]);
+            m_context.sendVersion(peers[randomBelow(m_context.random, peers.size())]);
     }
 
     /// A domain whose relays have lost the store should not wait for its turn. A few domains alone, so that the bytes don't grow
@@ -345,7 +345,7 @@
         m_nextCrossDomain = now + m_context.settings.crossDomainInterval;
         m_turn = (m_turn + 1) % m_otherDomains.size();
         const auto &members = m_otherDomains[m_turn];
-        m_context.tell(members[randomBelow(m_context.random, members.size())]);
+        m_context.sendVersion(members[randomBelow(m_context.random, members.size())]);
     }
 
     DistributionContext m_context;
