--- a/include/stairspur/distribution/DistributionContext.h
+++ b/include/stairspur/distribution/DistributionContext.h
@@ -98,7 +98,7 @@
     bool isRelay = false;
     std::uint32_t relayRank = 0;  ///< Among the relays of its domain; the same on all nodes.
     std::uint32_t relayCount = 1; ///< Of its domain.
-    TimePoint lastHeard{};        ///< From any peer or the store.
+    TimePoint lastReceivedAt{};        ///< From any peer or the store.
 
     std::vector<Action> actions;
     DistributionCounters counters;
--- a/include/stairspur/distribution/DistributionState.h
+++ b/include/stairspur/distribution/DistributionState.h
@@ -132,7 +132,7 @@
         m_context.counters.requestBytesReceived += payload.size();
         try {
             const auto reply = decodePullReply(payload);
-            m_context.lastHeard = now;
+            m_context.lastReceivedAt = now;
             adopt(m_fetch.didReceiveReply(id, reply, now), now);
         } catch (const InputError &) {
             m_context.counters.malformed += 1;
@@ -269,7 +269,7 @@
 
     auto note(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
-        m_context.lastHeard = now;
+        m_context.lastReceivedAt = now;
         const auto own = m_context.current.digest();
         if (digest.version == own.version && digest != own)
             didSeeTwoHashes(from, digest, now);
--- a/include/stairspur/distribution/HeadFollower.h
+++ b/include/stairspur/distribution/HeadFollower.h
@@ -34,7 +34,7 @@
         const auto isAnswer = source == ConfigurationSource::Read;
         if (isAnswer)
             m_isReadingHead = false;
-        m_context.lastHeard = now;
+        m_context.lastReceivedAt = now;
         m_isReadWanted = false;
         m_backoff.reset();
         noteWhetherBehind(head, isAnswer);
@@ -122,7 +122,7 @@
             return m_isReadWanted || (Policy::PollsHead && now >= m_nextRead);
         if (m_context.current.version() == 0)
             return now - m_start >= settings.freshStoreDelay;
-        return now - std::max(m_context.lastHeard, m_start) >= settings.staleAfter;
+        return now - std::max(m_context.lastReceivedAt, m_start) >= settings.staleAfter;
     }
 
     /// The next turn is counted from this one's time, not from when it was taken, so that relays' turns stay apart.
