--- a/include/stairspur/distribution/DistributionContext.h
+++ b/include/stairspur/distribution/DistributionContext.h
@@ -20,7 +20,7 @@
     std::uint32_t fanout = 2;      ///< Peers told of a new version at once.
     std::uint32_t laterRounds = 2; ///< In each of them one more peer is told.
     Duration roundInterval{250'000};
-    Duration askTimeout{200'000};    ///< For a datagram's answer.
+    Duration datagramTimeout{200'000};    ///< For a datagram's answer.
     Duration pullTimeout{1'000'000}; ///< For a control request.
     Duration minBackoff{100'000};    ///< Between failed fetches.
     /// Half of the 2 s within which a version must be in force: a node whose fetches failed while it was cut off still has
@@ -37,7 +37,7 @@
     Duration headPollInterval{1'200'000};
     Duration staleAfter{
             60'000'000}; ///< Without a word from anyone, a node that is no relay reads too.
-    Duration freshStoreDelay{
+    Duration initialStoreDelay{
             3'000'000}; ///< A node without a configuration asks its peers alone first.
     /// Whether nodes keep a proof of how lately their configuration was the newest. See Freshness.
     bool isProvingFreshness = false;
--- a/include/stairspur/distribution/HeadFollower.h
+++ b/include/stairspur/distribution/HeadFollower.h
@@ -121,7 +121,7 @@
         if (m_context.isRelay)
             return m_isReadWanted || (Policy::PollsHead && now >= m_nextRead);
         if (m_context.current.version() == 0)
-            return now - m_start >= settings.freshStoreDelay;
+            return now - m_start >= settings.initialStoreDelay;
         return now - std::max(m_context.lastReceivedAt, m_start) >= settings.staleAfter;
     }
 
@@ -145,7 +145,7 @@
     {
         const auto &settings = m_context.settings;
         const auto base =
-                m_context.current.version() == 0 ? settings.freshStoreDelay : settings.staleAfter;
+                m_context.current.version() == 0 ? settings.initialStoreDelay : settings.staleAfter;
         return Duration{static_cast<std::int64_t>(static_cast<double>(base.count())
                                                   * (0.5 + randomUnit(m_context.random)))};
     }
--- a/include/stairspur/distribution/PeerFetch.h
+++ b/include/stairspur/distribution/PeerFetch.h
@@ -162,7 +162,7 @@
     auto ask(TimePoint now) -> void
     {
         m_stage = Stage::Asking;
-        m_deadline = now + m_context.settings.askTimeout;
+        m_deadline = now + m_context.settings.datagramTimeout;
         m_context.send(m_peer, {DatagramKind::ChangesRequest, m_context.current.digest(), 0, {}});
     }
 
