--- a/include/stairspur/distribution/DistributionContext.h
+++ b/include/stairspur/distribution/DistributionContext.h
@@ -48,19 +48,19 @@
 {
     static constexpr auto IsForwardOnly = true;
     static constexpr auto VerifiesHash = true;
-    static constexpr auto KeepsFirstOfTwo = true;
-    static constexpr auto FetchesElsewhere = true; ///< After a failure, from another peer.
+    static constexpr auto KeepsFirstOfEqualVersions = true;
+    static constexpr auto RetriesOtherPeers = true; ///< After a failure, from another peer.
     static constexpr auto PollsHead = true;        ///< Against silent watches.
-    static constexpr auto AsksPeersWhenFresh = true;
-    static constexpr auto TellsOtherDomains = true;
+    static constexpr auto QueriesPeersAtStart = true;
+    static constexpr auto SendsToOtherDomains = true;
     static constexpr auto LoadsWholeOnMismatch = true;
-    static constexpr auto ListensToDigests = true; ///< Those on membership's probes and acks.
+    static constexpr auto HandlesDigests = true; ///< Those on membership's probes and acks.
     /// A proof counts from when this node asked, not from when the answer came.
-    static constexpr auto CountsFromAsking = true;
+    static constexpr auto CountsFromRequestTime = true;
     /// A proof counts once the version that it speaks of is in force here.
     static constexpr auto WaitsForVersion = true;
     /// A node whose proof grows old asks others than its parents, and the store.
-    static constexpr auto ProvesElsewhere = true;
+    static constexpr auto SearchesForProofs = true;
 };
 
 /// Whether a configuration that is told of may take the place of the one in force.
@@ -68,7 +68,7 @@
 auto isNewer(const Digest &seen, const Digest &own) -> bool
 {
     if (seen.version == own.version)
-        return !Policy::KeepsFirstOfTwo && seen != own;
+        return !Policy::KeepsFirstOfEqualVersions && seen != own;
     return seen.version > own.version || (!Policy::IsForwardOnly && seen.version > 0);
 }
 
--- a/include/stairspur/distribution/DistributionState.h
+++ b/include/stairspur/distribution/DistributionState.h
@@ -99,7 +99,7 @@
     /// From a membership probe or ack of `from`.
     auto didReceiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
-        if (!Policy::ListensToDigests)
+        if (!Policy::HandlesDigests)
             return;
         note(from, digest, now);
     }
@@ -340,7 +340,7 @@
     /// relays may have stopped without anybody having noticed yet.
     auto tellOtherDomain(TimePoint now) -> void
     {
-        if (!Policy::TellsOtherDomains || !m_context.isRelay || m_otherDomains.empty())
+        if (!Policy::SendsToOtherDomains || !m_context.isRelay || m_otherDomains.empty())
             return;
         m_nextCrossDomain = now + m_context.settings.crossDomainInterval;
         m_turn = (m_turn + 1) % m_otherDomains.size();
--- a/include/stairspur/distribution/Freshness.h
+++ b/include/stairspur/distribution/Freshness.h
@@ -64,7 +64,7 @@
         const auto it = std::ranges::find(m_asks, confirmation.subscription, &Ask::subscription);
         if (it == m_asks.end())
             return; // Of an earlier life, or so old that it proves nothing of use.
-        const auto start = Policy::CountsFromAsking ? it->sentAt : now;
+        const auto start = Policy::CountsFromRequestTime ? it->sentAt : now;
         take({confirmation.version, start + confirmation.sinceSubscription}, now);
     }
 
@@ -78,14 +78,14 @@
         std::erase_if(m_asks, [&](const auto &it) { return it.sentAt + AskLifetime < now; });
         renewParents(now);
         noteAge(now);
-        if (Policy::ProvesElsewhere && age(now) > SilenceLimit && now >= m_nextSearch)
+        if (Policy::SearchesForProofs && age(now) > SilenceLimit && now >= m_nextSearch)
             search(now);
     }
 
     /// Whether this node should read the store out of turn. Relays go first; the others are many.
     [[nodiscard]] auto isReadDue(TimePoint now) const -> bool
     {
-        return Policy::ProvesElsewhere && m_isOld && now >= m_nextRead;
+        return Policy::SearchesForProofs && m_isOld && now >= m_nextRead;
     }
 
 private:
--- a/include/stairspur/distribution/PeerFetch.h
+++ b/include/stairspur/distribution/PeerFetch.h
@@ -134,7 +134,7 @@
 
     auto startIfDue(TimePoint now) -> void
     {
-        const auto mayAskBlindly = Policy::AsksPeersWhenFresh && isFresh();
+        const auto mayAskBlindly = Policy::QueriesPeersAtStart && isFresh();
         const auto isBehind = !m_sources.empty() || m_newest > m_context.current.version();
         if (m_stage != Stage::Idle || now < m_notBefore || !(mayAskBlindly || isBehind))
             return;
@@ -153,7 +153,7 @@
     auto takeSource() -> NodeId
     {
         if (m_sources.empty())
-            return Policy::FetchesElsewhere || isFresh() ? m_context.randomPeer() : NodeId();
+            return Policy::RetriesOtherPeers || isFresh() ? m_context.randomPeer() : NodeId();
         auto peer = std::move(m_sources.back());
         m_sources.pop_back();
         return peer;
@@ -242,7 +242,7 @@
         m_stage = Stage::Idle;
         m_context.counters.failedFetches += 1;
         m_notBefore = now + m_backoff.next(m_context.random);
-        if constexpr (!Policy::FetchesElsewhere)
+        if constexpr (!Policy::RetriesOtherPeers)
             m_sources.clear();
     }
 
--- a/tests/distribution/TestDistributionMatrix.cpp
+++ b/tests/distribution/TestDistributionMatrix.cpp
@@ -52,12 +52,12 @@
 
 struct TakesSecond : DistributionPolicy
 {
-    static constexpr auto KeepsFirstOfTwo = false;
+    static constexpr auto KeepsFirstOfEqualVersions = false;
 };
 
 struct OnePeerOnly : DistributionPolicy
 {
-    static constexpr auto FetchesElsewhere = false;
+    static constexpr auto RetriesOtherPeers = false;
 };
 
 struct TrustsWatch : DistributionPolicy
@@ -67,12 +67,12 @@
 
 struct WaitsWhenFresh : DistributionPolicy
 {
-    static constexpr auto AsksPeersWhenFresh = false;
+    static constexpr auto QueriesPeersAtStart = false;
 };
 
 struct OwnDomainOnly : DistributionPolicy
 {
-    static constexpr auto TellsOtherDomains = false;
+    static constexpr auto SendsToOtherDomains = false;
 };
 
 struct ChangesOnly : DistributionPolicy
@@ -82,7 +82,7 @@
 
 struct DeafToDigests : DistributionPolicy
 {
-    static constexpr auto ListensToDigests = false;
+    static constexpr auto HandlesDigests = false;
 };
 
 Test(DistributionMatrix, eachGuardIsNeeded)
--- a/tests/distribution/TestFreshness.cpp
+++ b/tests/distribution/TestFreshness.cpp
@@ -138,7 +138,7 @@
 
 struct CountsFromArrival : DistributionPolicy
 {
-    static constexpr auto CountsFromAsking = false;
+    static constexpr auto CountsFromRequestTime = false;
 };
 
 struct TakesProofsOfOtherVersions : DistributionPolicy
@@ -233,7 +233,7 @@
 
 struct WaitsForItsParents : DistributionPolicy
 {
-    static constexpr auto ProvesElsewhere = false;
+    static constexpr auto SearchesForProofs = false;
 };
 
 Test(Freshness, aDomainWithoutTheStoreWouldRefuseIfItDidNotAskElsewhere)
