--- a/include/stairspur/distribution/ConfigurationPublisher.h
+++ b/include/stairspur/distribution/ConfigurationPublisher.h
@@ -82,9 +82,9 @@
                 co_await pause(backoff.next(m_random));
             const auto step = protocol.next();
             if (const auto *range = std::get_if<store::RangeRequest>(&step))
-                protocol.didRange(co_await m_store.range(*range));
+                protocol.didReceiveRange(co_await m_store.range(*range));
             else
-                protocol.didTxn(co_await m_store.txn(std::get<store::Transaction>(step)));
+                protocol.didReceiveTxn(co_await m_store.txn(std::get<store::Transaction>(step)));
         }
         co_return protocol.result();
     }
--- a/include/stairspur/distribution/PublishProtocol.h
+++ b/include/stairspur/distribution/PublishProtocol.h
@@ -47,7 +47,7 @@
     static constexpr auto LooksForOwnApply = true; ///< After a lost answer, before anything else.
     static constexpr auto KeepsRetiredSections = true; ///< For readers that are on their way.
     static constexpr auto WritesSectionsFirst = true;
-    static constexpr auto AdmitsForgottenApplies = true; ///< Says unknown when the head forgot.
+    static constexpr auto ReportsEvictedApplies = true; ///< Says unknown when the head forgot.
 };
 
 /// Applies one configuration, step by step and without I/O: ask next(), carry the request out, hand in its result.
@@ -60,7 +60,7 @@
 public:
     static constexpr auto MaxOperations = std::size_t{100};     ///< etcd's default limit is 128.
     static constexpr auto MaxWriteBytes = std::size_t{500'000}; ///< Values hold up to a megabyte.
-    static constexpr auto MaxDoubtfulReads = 8U;
+    static constexpr auto MaxVerifications = 8U;
 
     explicit PublishProtocol(PublishRequest request)
         : m_request(std::move(request))
@@ -77,7 +77,7 @@
     /// Whether the next request repeats one that failed, so that a pause before it makes sense.
     [[nodiscard]] auto isRepeating() const -> bool { return m_doubtfulReads > 0; }
 
-    auto didRange(const store::StoreResult<store::RangeAnswer> &result) -> void
+    auto didReceiveRange(const store::StoreResult<store::RangeAnswer> &result) -> void
     {
         if (!result.isOk())
             return didFailToRead(result.detail);
@@ -93,7 +93,7 @@
         }
     }
 
-    auto didTxn(const store::StoreResult<store::WriteAnswer> &result) -> void
+    auto didReceiveTxn(const store::StoreResult<store::WriteAnswer> &result) -> void
     {
         if (result.status == store::StoreStatus::Rejected && !m_mayBeWritten)
             return end(PublishOutcome::Rejected, result.detail);
@@ -249,7 +249,7 @@
     {
         if (m_step != Step::ReadInDoubt)
             return end(PublishOutcome::StoreUnavailable, detail);
-        if (++m_doubtfulReads > MaxDoubtfulReads)
+        if (++m_doubtfulReads > MaxVerifications)
             end(m_mayBeWritten ? PublishOutcome::Unknown : PublishOutcome::StoreUnavailable,
                 detail);
     }
@@ -264,7 +264,7 @@
             Policy::LooksForOwnApply && own != nullptr)
             return didApply(own->version, std::move(head));
         if (revision == m_baseRevision) {
-            if (++m_doubtfulReads > MaxDoubtfulReads)
+            if (++m_doubtfulReads > MaxVerifications)
                 return end(PublishOutcome::Unknown, "the store takes neither yes nor no");
             m_step = Step::WriteHead;
             m_next = m_headWrite;
@@ -272,7 +272,7 @@
         }
         const auto mayBeForgotten =
                 head.version == 0 || head.version > m_base.head.version + RememberedApplies;
-        if (m_mayBeWritten && mayBeForgotten && Policy::AdmitsForgottenApplies) {
+        if (m_mayBeWritten && mayBeForgotten && Policy::ReportsEvictedApplies) {
             m_result.inForce = std::move(head);
             return end(PublishOutcome::Unknown,
                        "later applies have displaced the record of this one");
--- a/tests/distribution/FakeCluster.h
+++ b/tests/distribution/FakeCluster.h
@@ -90,9 +90,9 @@
         while (!protocol.isDone()) {
             const auto request = protocol.next();
             if (const auto *range = std::get_if<store::RangeRequest>(&request))
-                protocol.didRange(store.range(*range));
+                protocol.didReceiveRange(store.range(*range));
             else
-                protocol.didTxn(store.txn(std::get<store::Transaction>(request)));
+                protocol.didReceiveTxn(store.txn(std::get<store::Transaction>(request)));
         }
         if (!isWatchSilent)
             notifyWatches();
--- a/tests/distribution/TestPublishMatrix.cpp
+++ b/tests/distribution/TestPublishMatrix.cpp
@@ -42,9 +42,9 @@
 {
     const auto request = protocol.next();
     if (const auto *range = std::get_if<store::RangeRequest>(&request))
-        protocol.didRange(store.range(*range, fault));
+        protocol.didReceiveRange(store.range(*range, fault));
     else
-        protocol.didTxn(store.txn(std::get<store::Transaction>(request), fault));
+        protocol.didReceiveTxn(store.txn(std::get<store::Transaction>(request), fault));
 }
 
 template <typename Policy>
@@ -283,7 +283,7 @@
 
 struct NeverForgets : PublishPolicy
 {
-    static constexpr auto AdmitsForgottenApplies = false;
+    static constexpr auto ReportsEvictedApplies = false;
 };
 
 Test(PublishMatrix, everyFaultAtEveryStep)
--- a/tests/measure/distribution/main.cpp
+++ b/tests/measure/distribution/main.cpp
@@ -116,9 +116,9 @@
         for (calls = 0; !protocol.isDone(); ++calls) {
             const auto request = protocol.next();
             if (const auto *range = std::get_if<store::RangeRequest>(&request))
-                protocol.didRange(store.range(*range));
+                protocol.didReceiveRange(store.range(*range));
             else
-                protocol.didTxn(store.txn(std::get<store::Transaction>(request)));
+                protocol.didReceiveTxn(store.txn(std::get<store::Transaction>(request)));
         }
         if (change == 0)
             std::printf("first apply of %d services: %d store calls\n", FLAGS_services, calls);
