--- a/include/stairspur/distribution/Head.h
+++ b/include/stairspur/distribution/Head.h
@@ -15,8 +15,8 @@
 inline constexpr auto SectionPrefix = std::string_view("/stairspur/config/section/");
 
 /// Apply ids and changes that a head remembers. An applier that lost its answer finds its id among them.
-inline constexpr auto RememberedApplies = std::size_t{16};
-inline constexpr auto RememberedChanges = std::size_t{4};
+inline constexpr auto MaxRecordedApplies = std::size_t{16};
+inline constexpr auto MaxRecordedChanges = std::size_t{4};
 /// Changes of more sections than this are not listed: readers load the whole instead.
 inline constexpr auto MaxListedChange = std::size_t{32};
 /// A section that is no longer named stays for this many versions, for readers that are on their way.
--- a/include/stairspur/distribution/PublishProtocol.h
+++ b/include/stairspur/distribution/PublishProtocol.h
@@ -271,7 +271,7 @@
             return;
         }
         const auto mayBeForgotten =
-                head.version == 0 || head.version > m_base.head.version + RememberedApplies;
+                head.version == 0 || head.version > m_base.head.version + MaxRecordedApplies;
         if (m_mayBeWritten && mayBeForgotten && Policy::ReportsEvictedApplies) {
             m_result.inForce = std::move(head);
             return end(PublishOutcome::Unknown,
--- a/source/distribution/WritePlan.cpp
+++ b/source/distribution/WritePlan.cpp
@@ -107,11 +107,11 @@
     head.appliedAtMs = request.wallClockMs;
     head.applies = base.head.applies;
     head.applies.push_back({request.applyId, change.version});
-    keepLast(head.applies, RememberedApplies);
+    keepLast(head.applies, MaxRecordedApplies);
     head.changes = base.head.changes;
     if (change.hashes.size() <= MaxListedChange)
         head.changes.push_back(change);
-    keepLast(head.changes, RememberedChanges);
+    keepLast(head.changes, MaxRecordedChanges);
     return head;
 }
 
