--- a/include/stairspur/distribution/CurrentConfiguration.h
+++ b/include/stairspur/distribution/CurrentConfiguration.h
@@ -69,7 +69,7 @@
 private:
     static constexpr auto MaxRemoved = std::size_t{1024};
 
-    auto noteRemoved(const Candidate &candidate, std::uint64_t version) -> void;
+    auto recordRemoved(const Candidate &candidate, std::uint64_t version) -> void;
 
     std::uint64_t m_version = 0;
     std::string m_hash;
--- a/include/stairspur/distribution/DistributionState.h
+++ b/include/stairspur/distribution/DistributionState.h
@@ -101,7 +101,7 @@
     {
         if (!Policy::HandlesDigests)
             return;
-        note(from, digest, now);
+        processDigest(from, digest, now);
     }
 
     auto didReceiveDatagram(const NodeId &from, std::string_view payload, TimePoint now) -> void
@@ -206,9 +206,9 @@
             m_follower.readOutOfTurn();
         updateWatch(now);
         if (m_roundsLeft > 0 && now >= m_nextRound)
-            tellOneMore(now);
+            sendToOneMore(now);
         if (now >= m_nextCrossDomain)
-            tellOtherDomain(now);
+            sendToOtherDomain(now);
     }
 
 private:
@@ -233,13 +233,13 @@
                 m_context.sendVersion(from);
             break;
         case DatagramKind::ChangesRequest:
-            answerAsk(from, datagram.digest);
+            answerChangesRequest(from, datagram.digest);
             break;
         case DatagramKind::Delta:
             adopt(m_fetch.didReceiveDelta(from, datagram, now), now);
             return;
         case DatagramKind::TooLarge:
-            m_fetch.didHearLarge(from, now);
+            m_fetch.didReceiveTooLarge(from, now);
             break;
         case DatagramKind::Subscribe:
             m_freshness.didReceiveSubscribe(from, datagram.confirmation.subscription, now);
@@ -248,10 +248,10 @@
             m_freshness.didReceiveConfirm(datagram.confirmation, now);
             break;
         }
-        note(from, datagram.digest, now);
+        processDigest(from, datagram.digest, now);
     }
 
-    auto answerAsk(const NodeId &from, const Digest &theirs) -> void
+    auto answerChangesRequest(const NodeId &from, const Digest &theirs) -> void
     {
         const auto &current = m_context.current;
         if (theirs.version >= current.version())
@@ -267,16 +267,16 @@
         m_context.send(from, reply);
     }
 
-    auto note(const NodeId &from, const Digest &digest, TimePoint now) -> void
+    auto processDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
         m_context.lastReceivedAt = now;
         const auto own = m_context.current.digest();
         if (digest.version == own.version && digest != own)
-            didSeeTwoHashes(from, digest, now);
-        m_fetch.didHear(from, digest, now);
+            didReceiveSecondHash(from, digest, now);
+        m_fetch.didReceiveDigest(from, digest, now);
     }
 
-    auto didSeeTwoHashes(const NodeId &from, const Digest &seen, TimePoint) -> void
+    auto didReceiveSecondHash(const NodeId &from, const Digest &seen, TimePoint) -> void
     {
         if (m_alarmed == seen)
             return;
@@ -294,8 +294,8 @@
         m_context.current.adopt(adoption->version, std::move(adoption->candidate));
         m_context.counters.adoptions += 1;
         m_context.actions.emplace_back(Publish{adoption->source, adoption->from});
-        tellPeers(adoption->from);
-        tellOtherDomains(now);
+        sendToPeers(adoption->from);
+        sendToOtherDomains(now);
         m_roundsLeft = m_context.settings.laterRounds;
         m_nextRound = now + m_context.settings.roundInterval;
         m_fetch.didAdopt(now);
@@ -304,7 +304,7 @@
     }
 
     /// Tells a few random peers of the own domain, other than the one that this came from.
-    auto tellPeers(const NodeId &source) -> void
+    auto sendToPeers(const NodeId &source) -> void
     {
         auto &peers = m_context.domainPeers;
         const auto n = std::min<std::size_t>(peers.size(), m_context.settings.fanout);
@@ -317,7 +317,7 @@
     }
 
     /// Later rounds reach most of those whom the first left out, sooner than membership's next probe.
-    auto tellOneMore(TimePoint now) -> void
+    auto sendToOneMore(TimePoint now) -> void
     {
         m_roundsLeft -= 1;
         m_nextRound = now + m_context.settings.roundInterval;
@@ -328,17 +328,17 @@
 
     /// A domain whose relays have lost the store should not wait for its turn. A few domains alone, so that the bytes don't grow
     /// with their number; those tell further ones.
-    auto tellOtherDomains(TimePoint now) -> void
+    auto sendToOtherDomains(TimePoint now) -> void
     {
         const auto n =
                 std::min<std::size_t>(m_otherDomains.size(), m_context.settings.crossDomainFanout);
         for (auto index = std::size_t{0}; index < n; ++index)
-            tellOtherDomain(now);
+            sendToOtherDomain(now);
     }
 
     /// One other domain at a time, in turn: the bytes don't grow with domains. Any of its members may be told, since its
     /// relays may have stopped without anybody having noticed yet.
-    auto tellOtherDomain(TimePoint now) -> void
+    auto sendToOtherDomain(TimePoint now) -> void
     {
         if (!Policy::SendsToOtherDomains || !m_context.isRelay || m_otherDomains.empty())
             return;
--- a/include/stairspur/distribution/Freshness.h
+++ b/include/stairspur/distribution/Freshness.h
@@ -40,18 +40,18 @@
     auto didReadHead(std::uint64_t version, TimePoint sentAt, TimePoint now) -> void
     {
         m_nextRead = now;
-        take({version, sentAt}, now);
+        accept({version, sentAt}, now);
     }
 
     auto didFailToReadHead(TimePoint now) -> void { m_nextRead = now + readPause(); }
 
     /// Another configuration is in force; a proof may have waited for it.
-    auto didAdopt(TimePoint now) -> void { take(std::exchange(m_pending, Proof()), now); }
+    auto didAdopt(TimePoint now) -> void { accept(std::exchange(m_pending, Proof()), now); }
 
     auto didReceiveSubscribe(const NodeId &from, std::uint64_t subscription, TimePoint now) -> void
     {
         std::erase_if(m_subscribers, [&](const auto &it) { return it.second.endsAt <= now; });
-        const auto isRoom = m_subscribers.size() < MostSubscribers || m_subscribers.contains(from);
+        const auto isRoom = m_subscribers.size() < MaxSubscribers || m_subscribers.contains(from);
         const auto subscriber = Subscriber{subscription, now, now + SubscriptionTime};
         if (isRoom)
             m_subscribers[from] = subscriber;
@@ -61,11 +61,11 @@
 
     auto didReceiveConfirm(const Confirmation &confirmation, TimePoint now) -> void
     {
-        const auto it = std::ranges::find(m_asks, confirmation.subscription, &Ask::subscription);
-        if (it == m_asks.end())
+        const auto it = std::ranges::find(m_sentSubscribes, confirmation.subscription, &SentSubscribe::subscription);
+        if (it == m_sentSubscribes.end())
             return; // Of an earlier life, or so old that it proves nothing of use.
         const auto start = Policy::CountsFromRequestTime ? it->sentAt : now;
-        take({confirmation.version, start + confirmation.sinceSubscription}, now);
+        accept({confirmation.version, start + confirmation.sinceSubscription}, now);
     }
 
     /// To be called several times a second.
@@ -75,9 +75,9 @@
             return;
         if (std::exchange(m_isStarted, true) == false)
             m_nextRead = now + StartPause;
-        std::erase_if(m_asks, [&](const auto &it) { return it.sentAt + AskLifetime < now; });
+        std::erase_if(m_sentSubscribes, [&](const auto &it) { return it.sentAt + SubscribeLifetime < now; });
         renewParents(now);
-        noteAge(now);
+        updateAge(now);
         if (Policy::SearchesForProofs && age(now) > SilenceLimit && now >= m_nextSearch)
             search(now);
     }
@@ -95,7 +95,7 @@
         TimePoint at{};
     };
 
-    struct Ask
+    struct SentSubscribe
     {
         NodeId to;
         std::uint64_t subscription = 0;
@@ -105,7 +105,7 @@
     struct Subscriber
     {
         std::uint64_t subscription = 0;
-        TimePoint heardAt;
+        TimePoint receivedAt;
         TimePoint endsAt;
     };
 
@@ -113,12 +113,12 @@
     /// inner nodes (docs/measurements/freshness.md); 1,077 hosts are five steps deep, some milliseconds each.
     static constexpr auto FanOut = std::size_t{4};
     /// A few more than the tree has, for nodes that search.
-    static constexpr auto MostSubscribers = std::size_t{48};
+    static constexpr auto MaxSubscribers = std::size_t{48};
     /// A subscription is renewed long before its end, so that a lost datagram or two cost nothing.
     static constexpr auto SubscriptionTime = Duration{8'000'000};
     static constexpr auto RenewInterval = Duration{3'000'000};
     /// Proofs told under older asks are of no use: they would count from too long ago.
-    static constexpr auto AskLifetime = Duration{12'000'000};
+    static constexpr auto SubscribeLifetime = Duration{12'000'000};
     /// A domain's relays read once in 1.2 s: whoever has heard of no proof for this long is cut off from them, or they from
     /// the store.
     static constexpr auto SilenceLimit = Duration{1'700'000};
@@ -135,7 +135,7 @@
     /// of 2,000 calls a second.
     static constexpr auto ReadsPerSecond = 50.0;
     /// Two proofs of one read differ by what their ways took; only a newer read is worth telling on.
-    static constexpr auto LeastAdvance = Duration{100'000};
+    static constexpr auto MinAdvance = Duration{100'000};
 
     [[nodiscard]] auto age(TimePoint now) const -> Duration
     {
@@ -144,7 +144,7 @@
 
     /// The members of a domain see their proofs grow old together. If they all read at once then, 1,077 hosts would ask as many
     /// times in a tenth of a second.
-    auto noteAge(TimePoint now) -> void
+    auto updateAge(TimePoint now) -> void
     {
         const auto wasOld = m_isOld;
         m_isOld = age(now) > (m_context.isRelay ? RelayReadLimit : ReadLimit);
@@ -166,7 +166,7 @@
         return std::max(MemberRetryPause, partOf(Duration{1'000'000}, members / ReadsPerSecond));
     }
 
-    auto take(Proof proof, TimePoint now) -> void
+    auto accept(Proof proof, TimePoint now) -> void
     {
         if (proof.version == 0 || proof.at > now)
             return;
@@ -178,13 +178,13 @@
         if (m_proof.version > 0 && proof.at <= m_proof.at)
             return;
         m_proof = proof;
-        if (m_proof.at - m_toldProof.at >= LeastAdvance)
-            tellSubscribers(now);
+        if (m_proof.at - m_sentProof.at >= MinAdvance)
+            confirmSubscribers(now);
     }
 
-    auto tellSubscribers(TimePoint now) -> void
+    auto confirmSubscribers(TimePoint now) -> void
     {
-        m_toldProof = m_proof;
+        m_sentProof = m_proof;
         for (const auto &[node, it] : m_subscribers) {
             if (it.endsAt > now)
                 confirm(node, it);
@@ -195,15 +195,15 @@
     {
         auto datagram = ConfigDatagram{DatagramKind::Confirm, m_context.current.digest(), 0, {}};
         datagram.confirmation = {subscriber.subscription, m_proof.version,
-                                 m_proof.at - subscriber.heardAt};
+                                 m_proof.at - subscriber.receivedAt};
         m_context.send(to, datagram);
     }
 
-    auto ask(const NodeId &to, TimePoint now) -> void
+    auto sendSubscribe(const NodeId &to, TimePoint now) -> void
     {
         auto datagram = ConfigDatagram{DatagramKind::Subscribe, m_context.current.digest(), 0, {}};
         datagram.confirmation.subscription = m_context.random();
-        m_asks.push_back({to, datagram.confirmation.subscription, now});
+        m_sentSubscribes.push_back({to, datagram.confirmation.subscription, now});
         m_context.send(to, datagram);
     }
 
@@ -231,11 +231,11 @@
     auto renewParents(TimePoint now) -> void
     {
         for (const auto &it : parents()) {
-            const auto isAsked = std::ranges::any_of(m_asks, [&](const auto &asked) {
-                return asked.to == it && asked.sentAt + RenewInterval > now;
+            const auto isSubscribed = std::ranges::any_of(m_sentSubscribes, [&](const auto &sent) {
+                return sent.to == it && sent.sentAt + RenewInterval > now;
             });
-            if (!isAsked)
-                ask(it, now);
+            if (!isSubscribed)
+                sendSubscribe(it, now);
         }
     }
 
@@ -246,10 +246,10 @@
         m_isSearchingFar = !m_isSearchingFar;
         const auto &near = m_context.domainPeers;
         if (!m_isSearchingFar && !near.empty())
-            return ask(near[randomBelow(m_context.random, near.size())], now);
+            return sendSubscribe(near[randomBelow(m_context.random, near.size())], now);
         const auto &all = m_context.peers;
         if (!all.empty())
-            ask(all[randomBelow(m_context.random, all.size())].node, now);
+            sendSubscribe(all[randomBelow(m_context.random, all.size())].node, now);
     }
 
     auto readPause() -> Duration { return partOf(spread(), 0.5 + randomUnit(m_context.random)); }
@@ -257,8 +257,8 @@
     DistributionContext &m_context;
     Proof m_proof;     ///< Of the configuration in force.
     Proof m_pending;   ///< Of a newer one that is still being fetched.
-    Proof m_toldProof; ///< The last that subscribers were told of.
-    std::vector<Ask> m_asks;
+    Proof m_sentProof; ///< The last that subscribers were told of.
+    std::vector<SentSubscribe> m_sentSubscribes;
     std::map<NodeId, Subscriber> m_subscribers;
     TimePoint m_nextSearch{};
     TimePoint m_nextRead{};
--- a/include/stairspur/distribution/HeadFollower.h
+++ b/include/stairspur/distribution/HeadFollower.h
@@ -35,9 +35,9 @@
         if (isAnswer)
             m_isReadingHead = false;
         m_context.lastReceivedAt = now;
-        m_isReadWanted = false;
+        m_isReadNeeded = false;
         m_backoff.reset();
-        noteWhetherBehind(head, isAnswer);
+        checkWhetherBehind(head, isAnswer);
         if (!head
             || !isNewer<Policy>(digestOf(head->version, head->hash), m_context.current.digest()))
             return std::nullopt;
@@ -68,14 +68,14 @@
             }
             m_context.counters.rejectedHashes += 1;
         }
-        didMiss(now);
+        didMissSections(now);
         return std::nullopt;
     }
 
     auto didFailToReadSections(TimePoint now) -> void
     {
         m_isReadingSections = false;
-        m_isReadWanted = true;
+        m_isReadNeeded = true;
         m_notBefore = now + pauseAfterFailure();
     }
 
@@ -98,7 +98,7 @@
         if (!isReadDue(now))
             return;
         if (m_context.isRelay)
-            takeTurn(now);
+            scheduleNextTurn(now);
         else
             m_notBefore = now + jitteredStaleness();
         read();
@@ -119,14 +119,14 @@
     {
         const auto &settings = m_context.settings;
         if (m_context.isRelay)
-            return m_isReadWanted || (Policy::PollsHead && now >= m_nextRead);
+            return m_isReadNeeded || (Policy::PollsHead && now >= m_nextRead);
         if (m_context.current.version() == 0)
             return now - m_start >= settings.initialStoreDelay;
         return now - std::max(m_context.lastReceivedAt, m_start) >= settings.staleAfter;
     }
 
     /// The next turn is counted from this one's time, not from when it was taken, so that relays' turns stay apart.
-    auto takeTurn(TimePoint now) -> void
+    auto scheduleNextTurn(TimePoint now) -> void
     {
         const auto period = m_context.settings.headPollInterval * m_context.relayCount;
         m_nextRead += period;
@@ -150,7 +150,7 @@
                                                   * (0.5 + randomUnit(m_context.random)))};
     }
 
-    auto noteWhetherBehind(const std::optional<Head> &head, bool isAnswer) -> void
+    auto checkWhetherBehind(const std::optional<Head> &head, bool isAnswer) -> void
     {
         const auto seen = head ? digestOf(head->version, head->hash) : Digest();
         const auto own = m_context.current.digest();
@@ -212,7 +212,7 @@
     }
 
     /// Sections are missing or do not add up: the whole is read, and after that the head anew.
-    auto didMiss(TimePoint now) -> void
+    auto didMissSections(TimePoint now) -> void
     {
         if (!m_isWhole) {
             m_isWhole = true;
@@ -264,7 +264,7 @@
     TimePoint m_start{};
     TimePoint m_notBefore{};
     TimePoint m_nextRead{};     ///< A relay's next turn.
-    bool m_isReadWanted = true; ///< No head has been read, or its sections could not be.
+    bool m_isReadNeeded = true; ///< No head has been read, or its sections could not be.
     bool m_wasRelay = false;
     bool m_isReadingHead = false;
     bool m_isReadingSections = false;
--- a/include/stairspur/distribution/PeerFetch.h
+++ b/include/stairspur/distribution/PeerFetch.h
@@ -24,10 +24,10 @@
     {}
 
     /// Notes who has a newer version.
-    auto didHear(const NodeId &from, const Digest &digest, TimePoint now) -> void
+    auto didReceiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
         if (!isNewer<Policy>(digest, m_context.current.digest())) {
-            if (m_stage == Stage::Asking && m_peer == from)
+            if (m_stage == Stage::Querying && m_peer == from)
                 didFail(now); // Asked, and has nothing newer after all.
             return;
         }
@@ -46,17 +46,17 @@
         if (!isNewer<Policy>(delta.digest, current.digest()) || delta.since > current.version())
             return std::nullopt;
         auto candidate = current.assemble(delta.changes, false);
-        if (isTrue(candidate, delta.digest))
+        if (matchesDigest(candidate, delta.digest))
             return Adoption{delta.digest.version, std::move(candidate), ConfigurationSource::Delta, from};
-        if (m_stage == Stage::Asking && m_peer == from)
+        if (m_stage == Stage::Querying && m_peer == from)
             loadWhole(now);
         return std::nullopt;
     }
 
     /// The peer's changes do not fit into a datagram.
-    auto didHearLarge(const NodeId &from, TimePoint now) -> void
+    auto didReceiveTooLarge(const NodeId &from, TimePoint now) -> void
     {
-        if (m_stage == Stage::Asking && m_peer == from)
+        if (m_stage == Stage::Querying && m_peer == from)
             pull(m_context.current.version(), now);
     }
 
@@ -112,17 +112,17 @@
 private:
     enum class Stage {
         Idle,
-        Asking,  ///< A datagram is on its way.
+        Querying,  ///< A datagram is on its way.
         Pulling, ///< A control request is.
     };
 
     static constexpr auto MaxSources = std::size_t{8};
     static constexpr auto MaxRestarts = 5U;
-    static constexpr auto MaxAsks = 2U;
+    static constexpr auto MaxQueries = 2U;
 
-    [[nodiscard]] auto isFresh() const -> bool { return m_context.current.version() == 0; }
+    [[nodiscard]] auto isUnconfigured() const -> bool { return m_context.current.version() == 0; }
 
-    auto isTrue(const CurrentConfiguration::Candidate &candidate, const Digest &digest) -> bool
+    auto matchesDigest(const CurrentConfiguration::Candidate &candidate, const Digest &digest) -> bool
     {
         if constexpr (!Policy::VerifiesHash)
             return true;
@@ -134,34 +134,34 @@
 
     auto startIfDue(TimePoint now) -> void
     {
-        const auto mayAskBlindly = Policy::QueriesPeersAtStart && isFresh();
+        const auto mayQueryAnyPeer = Policy::QueriesPeersAtStart && isUnconfigured();
         const auto isBehind = !m_sources.empty() || m_newest > m_context.current.version();
-        if (m_stage != Stage::Idle || now < m_notBefore || !(mayAskBlindly || isBehind))
+        if (m_stage != Stage::Idle || now < m_notBefore || !(mayQueryAnyPeer || isBehind))
             return;
         m_peer = takeSource();
         if (m_peer.empty())
             return;
         m_restarts = 0;
         m_unanswered = 0;
-        if (isFresh())
+        if (isUnconfigured())
             pull(0, now);
         else
-            ask(now);
+            sendQuery(now);
     }
 
     /// The one that told last; without any, a random peer, which may have it by now.
     auto takeSource() -> NodeId
     {
         if (m_sources.empty())
-            return Policy::RetriesOtherPeers || isFresh() ? m_context.randomPeer() : NodeId();
+            return Policy::RetriesOtherPeers || isUnconfigured() ? m_context.randomPeer() : NodeId();
         auto peer = std::move(m_sources.back());
         m_sources.pop_back();
         return peer;
     }
 
-    auto ask(TimePoint now) -> void
+    auto sendQuery(TimePoint now) -> void
     {
-        m_stage = Stage::Asking;
+        m_stage = Stage::Querying;
         m_deadline = now + m_context.settings.datagramTimeout;
         m_context.send(m_peer, {DatagramKind::ChangesRequest, m_context.current.digest(), 0, {}});
     }
@@ -172,8 +172,8 @@
     {
         if (m_stage == Stage::Pulling)
             return didFail(now);
-        if (++m_unanswered < MaxAsks)
-            ask(now);
+        if (++m_unanswered < MaxQueries)
+            sendQuery(now);
         else
             pull(m_context.current.version(), now);
     }
@@ -226,7 +226,7 @@
     auto didCollect(TimePoint now) -> std::optional<Adoption>
     {
         auto candidate = m_context.current.assemble(m_collected, m_isWhole);
-        if (isTrue(candidate, m_digest)) {
+        if (matchesDigest(candidate, m_digest)) {
             m_context.counters.wholeLoads += m_isWhole ? 1 : 0;
             return Adoption{m_digest.version, std::move(candidate), ConfigurationSource::Pull, m_peer};
         }
--- a/include/stairspur/distribution/PublishProtocol.h
+++ b/include/stairspur/distribution/PublishProtocol.h
@@ -66,7 +66,7 @@
         : m_request(std::move(request))
         , m_hash(config::hashOf(m_request.sections))
     {
-        askForHead(Step::ReadHead);
+        requestHead(Step::ReadHead);
     }
 
     [[nodiscard]] auto isDone() const -> bool { return m_step == Step::Done; }
@@ -75,15 +75,15 @@
     /// Only when done.
     [[nodiscard]] auto result() const -> const PublishResult & { return m_result; }
     /// Whether the next request repeats one that failed, so that a pause before it makes sense.
-    [[nodiscard]] auto isRepeating() const -> bool { return m_doubtfulReads > 0; }
+    [[nodiscard]] auto isRepeating() const -> bool { return m_verifications > 0; }
 
     auto didReceiveRange(const store::StoreResult<store::RangeAnswer> &result) -> void
     {
         if (!result.isOk())
             return didFailToRead(result.detail);
         try {
-            if (m_step == Step::ReadInDoubt)
-                didReadInDoubt(result.value);
+            if (m_step == Step::VerifyWrite)
+                didVerifyWrite(result.value);
             else if (m_step == Step::ReadHead)
                 didReadHead(result.value);
             else
@@ -107,7 +107,7 @@
         if (result.status == store::StoreStatus::Unreachable && !m_mayBeWritten)
             return end(PublishOutcome::StoreUnavailable, result.detail);
         m_mayBeWritten = m_mayBeWritten || result.status == store::StoreStatus::Unknown;
-        askForHead(Step::ReadInDoubt);
+        requestHead(Step::VerifyWrite);
     }
 
 private:
@@ -117,11 +117,11 @@
         ReadBuckets,
         WriteSections,
         WriteHead,
-        ReadInDoubt,
+        VerifyWrite,
         Done,
     };
 
-    auto askForHead(Step step) -> void
+    auto requestHead(Step step) -> void
     {
         m_step = step;
         m_next = store::RangeRequest{.key = std::string(HeadKey)};
@@ -142,7 +142,7 @@
     }
 
     /// The configuration that is in force is another's, and ours never will be under this apply id.
-    auto didLose(Head head) -> void
+    auto didLoseRace(Head head) -> void
     {
         m_result.inForce = std::move(head);
         end(m_result.inForce.hash == m_hash ? PublishOutcome::AlreadyInForce
@@ -164,10 +164,10 @@
         if (m_base.head.version == 0)
             return prepareWrites();
         m_step = Step::ReadRoot;
-        askForBlob(m_base.head.listHash);
+        requestBlob(m_base.head.listHash);
     }
 
-    auto askForBlob(const std::string &hash) -> void
+    auto requestBlob(const std::string &hash) -> void
     {
         m_next = store::RangeRequest{.key = sectionKey(hash)};
     }
@@ -176,7 +176,7 @@
     auto didReadList(const store::RangeAnswer &answer) -> void
     {
         if (answer.pairs.empty())
-            return startAnew();
+            return restart();
         if (m_step == Step::ReadRoot) {
             m_base.root = decodeRoot(answer.pairs[0].value);
             const auto own = encodeList({config::hashesOf(m_request.sections), {}});
@@ -191,18 +191,18 @@
         }
         if (m_bucketsToRead.empty())
             return prepareWrites();
-        askForBlob(m_bucketsToRead.front());
+        requestBlob(m_bucketsToRead.front());
     }
 
     /// A part of the list is gone: the head has moved on since it was read, which the comparison would find as well.
-    auto startAnew() -> void
+    auto restart() -> void
     {
         if (++m_restarts > MaxRestarts)
             return end(PublishOutcome::StoreUnavailable, "the list of sections is not whole");
         m_base = {};
         m_baseRevision = 0;
         m_bucketsToRead.clear();
-        askForHead(Step::ReadHead);
+        requestHead(Step::ReadHead);
     }
 
     auto prepareWrites() -> void
@@ -247,15 +247,15 @@
 
     auto didFailToRead(const std::string &detail) -> void
     {
-        if (m_step != Step::ReadInDoubt)
+        if (m_step != Step::VerifyWrite)
             return end(PublishOutcome::StoreUnavailable, detail);
-        if (++m_doubtfulReads > MaxVerifications)
+        if (++m_verifications > MaxVerifications)
             end(m_mayBeWritten ? PublishOutcome::Unknown : PublishOutcome::StoreUnavailable,
                 detail);
     }
 
     /// The head's write may or may not have been applied: only the head can tell.
-    auto didReadInDoubt(const store::RangeAnswer &answer) -> void
+    auto didVerifyWrite(const store::RangeAnswer &answer) -> void
     {
         const auto &pairs = answer.pairs;
         auto head = pairs.empty() ? Head() : decodeHead(pairs[0].value);
@@ -264,20 +264,20 @@
             Policy::LooksForOwnApply && own != nullptr)
             return didApply(own->version, std::move(head));
         if (revision == m_baseRevision) {
-            if (++m_doubtfulReads > MaxVerifications)
+            if (++m_verifications > MaxVerifications)
                 return end(PublishOutcome::Unknown, "the store takes neither yes nor no");
             m_step = Step::WriteHead;
             m_next = m_headWrite;
             return;
         }
-        const auto mayBeForgotten =
+        const auto mayBeEvicted =
                 head.version == 0 || head.version > m_base.head.version + MaxRecordedApplies;
-        if (m_mayBeWritten && mayBeForgotten && Policy::ReportsEvictedApplies) {
+        if (m_mayBeWritten && mayBeEvicted && Policy::ReportsEvictedApplies) {
             m_result.inForce = std::move(head);
             return end(PublishOutcome::Unknown,
                        "later applies have displaced the record of this one");
         }
-        didLose(std::move(head));
+        didLoseRace(std::move(head));
     }
 
     static constexpr auto MaxRestarts = 3U;
@@ -292,7 +292,7 @@
     std::deque<std::string> m_bucketsToRead;
     WritePlan m_plan;
     bool m_mayBeWritten = false; ///< An earlier write of the head went without an answer.
-    std::uint32_t m_doubtfulReads = 0;
+    std::uint32_t m_verifications = 0;
     std::uint32_t m_restarts = 0;
     PublishResult m_result;
 };
--- a/source/distribution/CurrentConfiguration.cpp
+++ b/source/distribution/CurrentConfiguration.cpp
@@ -51,7 +51,7 @@
 
 auto CurrentConfiguration::adopt(std::uint64_t version, Candidate candidate) -> void
 {
-    noteRemoved(candidate, version);
+    recordRemoved(candidate, version);
     for (const auto &[name, hash] : candidate.hashes) {
         const auto old = m_hashes.find(name);
         if (old == m_hashes.end() || old->second != hash)
@@ -66,7 +66,7 @@
     m_hashes = std::move(candidate.hashes);
 }
 
-auto CurrentConfiguration::noteRemoved(const Candidate &candidate, std::uint64_t version) -> void
+auto CurrentConfiguration::recordRemoved(const Candidate &candidate, std::uint64_t version) -> void
 {
     for (const auto &[name, hash] : m_hashes) {
         if (candidate.hashes.contains(name))
--- a/source/distribution/DistributionService.cpp
+++ b/source/distribution/DistributionService.cpp
@@ -171,7 +171,7 @@
         m_watch = std::make_shared<transport::Cancellation>();
         auto handler = [weak = weak_from_this()](const store::WatchMessage &message) {
             if (const auto self = weak.lock())
-                self->didHearWatch(message);
+                self->didReceiveWatch(message);
         };
         auto request =
                 store::WatchRequest{.key = m_headReader.key(), .startRevision = m_watchRevision};
@@ -180,7 +180,7 @@
         co_return end;
     }
 
-    auto didHearWatch(const store::WatchMessage &message) -> void
+    auto didReceiveWatch(const store::WatchMessage &message) -> void
     {
         if (m_isStopped)
             return;
@@ -278,7 +278,7 @@
         auto blobs = Blobs();
         auto isOk = true;
         while (isOk && !requests.empty())
-            isOk = takeAnswer(co_await m_parts.store->range(requests.back()), requests, blobs);
+            isOk = addAnswer(co_await m_parts.store->range(requests.back()), requests, blobs);
         if (isOk)
             m_state.didReadSections(blobs, monotonicNow());
         else
@@ -286,7 +286,7 @@
         carryOut();
     }
 
-    auto carryOut(const Publish &news) -> void
+    auto carryOut(const Publish &publish) -> void
     {
         const auto &current = m_state.current();
         auto next = std::make_shared<config::VersionedConfiguration>();
@@ -303,8 +303,8 @@
         log::Line(log::Severity::Info, "configuration-in-force")
                 .add("version", current.version())
                 .add("hash", current.hash())
-                .add("source", news.source)
-                .add("from", news.from);
+                .add("source", publish.source)
+                .add("from", publish.from);
         m_parts.didPublish(std::move(next));
     }
 
--- a/source/distribution/Messages.cpp
+++ b/source/distribution/Messages.cpp
@@ -41,7 +41,7 @@
 }
 
 /// A proof that is further from its subscription than this is of no use, and its time could overflow.
-static constexpr auto MostSinceSubscription = Duration{3'600'000'000};
+static constexpr auto MaxSinceSubscription = Duration{3'600'000'000};
 
 static auto confirmationJson(const Confirmation &it) -> Json
 {
@@ -54,8 +54,8 @@
     result.subscription = json.at(0);
     result.version = json.at(1);
     result.sinceSubscription = Duration(json.at(2).get<Duration::rep>());
-    if (result.sinceSubscription > MostSinceSubscription
-        || result.sinceSubscription < -MostSinceSubscription)
+    if (result.sinceSubscription > MaxSinceSubscription
+        || result.sinceSubscription < -MaxSinceSubscription)
         throw InputError("a confirmation is of a time that cannot be", Remedy);
     return result;
 }
--- a/source/distribution/StoreReading.cpp
+++ b/source/distribution/StoreReading.cpp
@@ -20,7 +20,7 @@
     }
 }
 
-auto headIn(const store::StoreResult<store::RangeAnswer> &answer) -> HeadReading
+auto readHeadAnswer(const store::StoreResult<store::RangeAnswer> &answer) -> HeadReading
 {
     if (!answer.isOk())
         return {};
@@ -52,7 +52,7 @@
 auto HeadReader::readAnswer(const store::StoreResult<store::RangeAnswer> &answer) -> HeadReading
 {
     if (!m_source || !answer.isOk() || answer.value.pairs.empty())
-        return headIn(answer);
+        return readHeadAnswer(answer);
     return readValue(answer.value.pairs.front().value);
 }
 
@@ -74,7 +74,7 @@
     return requests;
 }
 
-auto takeAnswer(const store::StoreResult<store::RangeAnswer> &answer,
+auto addAnswer(const store::StoreResult<store::RangeAnswer> &answer,
                 std::vector<store::RangeRequest> &requests, Blobs &blobs) -> bool
 {
     if (!answer.isOk())
--- a/source/distribution/StoreReading.h
+++ b/source/distribution/StoreReading.h
@@ -23,7 +23,7 @@
 auto readHeadValue(const std::string &value) -> HeadReading;
 
 /// The head in the answer to a read of its key.
-auto headIn(const store::StoreResult<store::RangeAnswer> &answer) -> HeadReading;
+auto readHeadAnswer(const store::StoreResult<store::RangeAnswer> &answer) -> HeadReading;
 
 /// Reads heads in the form in which the store holds the configuration.
 class HeadReader
@@ -54,7 +54,7 @@
 
 /// Takes in the answer to the last of `requests`, and leaves the one for the next page if there is one. False: the store
 /// failed.
-auto takeAnswer(const store::StoreResult<store::RangeAnswer> &answer,
+auto addAnswer(const store::StoreResult<store::RangeAnswer> &answer,
                 std::vector<store::RangeRequest> &requests, Blobs &blobs) -> bool;
 
 } // namespace stairspur::distribution
--- a/source/distribution/WritePlan.cpp
+++ b/source/distribution/WritePlan.cpp
@@ -5,7 +5,7 @@
 
 namespace stairspur::distribution {
 
-static auto holds(const std::vector<std::string> &hashes, const std::string &hash) -> bool
+static auto contains(const std::vector<std::string> &hashes, const std::string &hash) -> bool
 {
     return std::ranges::find(hashes, hash) != hashes.end();
 }
@@ -20,7 +20,7 @@
             change.hashes[name] = "";
     }
     for (const auto &[blobHash, bytes] : own.blobs) {
-        if (blobHash == own.rootHash || holds(base.root.buckets, blobHash))
+        if (blobHash == own.rootHash || contains(base.root.buckets, blobHash))
             continue;
         for (const auto &[name, hash] : decodeBucket(bytes)) {
             const auto old = base.hashes.find(name);
@@ -79,7 +79,7 @@
             missing.push_back({.key = sectionKey(hash), .value = request.sections.at(name)});
     }
     for (const auto &[hash, bytes] : list.blobs) {
-        if (!holds(base.root.buckets, hash))
+        if (!contains(base.root.buckets, hash))
             missing.push_back({.key = sectionKey(hash), .value = bytes});
     }
     // Sections of the same content have one key, which a transaction may write only once.
