--- a/include/stairspur/distribution/Actions.h
+++ b/include/stairspur/distribution/Actions.h
@@ -10,16 +10,17 @@
 #include <stairspur/core/Time.h>
 #include <stairspur/distribution/Digest.h>
 
-/// What the distribution's state machine asks its surroundings to do.
+/// Actions that the distribution's state machine requests from its surroundings.
 namespace stairspur::distribution {
 
+/// Sends a datagram to another node.
 struct SendDatagram
 {
     NodeId to;
     std::string payload;
 };
 
-/// A control request; didReceiveReply() or didFailRequest() follows under the same id.
+/// Sends a control request; didReceiveReply() or didFailRequest() follows with the same id.
 struct SendRequest
 {
     std::uint64_t id = 0;
@@ -28,56 +29,59 @@
     Duration timeout{0};
 };
 
-/// didReadHead() or didFailToReadHead() follows.
+/// Reads the store's head; didReadHead() or didFailToReadHead() follows.
 struct ReadHead
 {};
 
-/// Watch the head from where the last watch ended: didWatchHead() for each message, didEndWatch() at the end.
+/// Watches the head from where the last watch ended. didWatchHead() follows for each message, didEndWatch() at the end.
 struct OpenWatch
 {};
 
-/// Cancel the watch; didEndWatch() follows.
+/// Cancels the watch; didEndWatch() follows.
 struct CloseWatch
 {};
 
-/// didReadSections() or didFailToReadSections() follows.
+/// Reads sections from the store; didReadSections() or didFailToReadSections() follows.
 struct ReadSections
 {
-    std::vector<std::string> hashes; ///< Empty: everything under the prefix of sections.
+    std::vector<std::string>
+            hashes; ///< Hashes of the sections; empty for all values under their prefix.
 };
 
-/// How a node came by a configuration.
+/// How a node received a configuration.
 enum class ConfigurationSource {
-    Watch, ///< A message of its watch of the store.
-    Read,  ///< Its own read of the store.
-    Delta, ///< A peer's datagram.
-    Pull,  ///< A peer's reply to a control request.
+    Watch, ///< By a message of its watch of the store.
+    Read,  ///< By its own read of the store.
+    Delta, ///< By a peer's datagram.
+    Pull,  ///< By a peer's reply to a control request.
 };
 
-/// Another configuration is in force: hand it to the node.
+/// Publishes a configuration that has come into force to the node.
 struct Publish
 {
     ConfigurationSource source = ConfigurationSource::Read;
-    NodeId from; ///< Empty: the store.
+    NodeId from; ///< Node that sent the configuration; empty for the store.
 };
 
+/// Why an operator has to look at the store.
 enum class AlarmKind {
-    TwoHashes,   ///< Two configurations bear one version. The first is kept.
-    StoreBehind, ///< The store's head is older than what is in force: it was emptied or restored.
+    TwoHashes, ///< Two configurations have the same version. The first one stays in force.
+    StoreBehind, ///< The store's head is older than the version in force: the store was emptied or restored.
 };
 
+/// Reports a conflict between the configuration in force and another one that was seen.
 struct Alarm
 {
     AlarmKind kind = AlarmKind::TwoHashes;
-    Digest kept;
-    Digest seen;
-    std::string from; ///< A node, or "store".
+    Digest kept;      ///< Digest of the configuration in force.
+    Digest seen;      ///< Digest of the conflicting configuration.
+    std::string from; ///< Node that sent `seen`, or "store".
 };
 
 using Action = std::variant<SendDatagram, SendRequest, ReadHead, OpenWatch, CloseWatch,
                             ReadSections, Publish, Alarm>;
 
-/// Counts since the start; bytes are payloads.
+/// Counts since the start of the process. Bytes are bytes of payload.
 struct DistributionCounters
 {
     std::uint64_t adoptions = 0;
@@ -87,10 +91,10 @@
     std::uint64_t requestsSent = 0;
     std::uint64_t requestBytesSent = 0;
     std::uint64_t requestBytesReceived = 0;
-    std::uint64_t wholeLoads = 0;     ///< Whole sets taken in, in place of changes.
-    std::uint64_t failedFetches = 0;  ///< From peers: timeouts, and peers with nothing newer.
-    std::uint64_t rejectedHashes = 0; ///< Sections that did not add up to the hash that was told.
-    std::uint64_t malformed = 0;
+    std::uint64_t wholeLoads = 0;     ///< Loads of all sections instead of the changed ones.
+    std::uint64_t failedFetches = 0;  ///< Fetches from peers that timed out or found nothing newer.
+    std::uint64_t rejectedHashes = 0; ///< Sets of sections that do not match the announced hash.
+    std::uint64_t malformed = 0;      ///< Messages that could not be decoded.
     std::uint64_t alarms = 0;
     std::uint64_t headReads = 0;
     std::uint64_t sectionReads = 0;
--- a/include/stairspur/distribution/ConfigurationPublisher.h
+++ b/include/stairspur/distribution/ConfigurationPublisher.h
@@ -16,14 +16,14 @@
 
 namespace stairspur::distribution {
 
-/// An apply that did not bring its configuration into force. The kinds below say why.
+/// Base of the errors of an apply that did not bring its configuration into force.
 class PublishError : public Error
 {
 public:
     using Error::Error;
 };
 
-/// Another applier came first. Nothing of this apply is in force, now or later.
+/// Another applier changed the head first. This apply is not in force and cannot come into force later.
 class ConflictError : public PublishError
 {
 public:
@@ -32,38 +32,38 @@
         , m_inForce(inForce)
     {}
 
-    /// What is in force in its place.
+    /// Returns the head that is in force instead.
     [[nodiscard]] auto inForce() const -> const Head & { return m_inForce; }
 
 private:
     Head m_inForce;
 };
 
-/// The store could not be reached. Nothing of this apply is in force, now or later.
+/// The store could not be reached. This apply is not in force and cannot come into force later.
 class StoreUnavailableError : public PublishError
 {
 public:
     using PublishError::PublishError;
 };
 
-/// The store's answer was lost and nobody could tell since whether the apply took effect.
+/// The store's answer was lost, and later reads could not determine whether the apply took effect.
 class ApplyUnknownError : public PublishError
 {
 public:
     using PublishError::PublishError;
 };
 
-/// The store refuses the configuration, or holds a head that cannot be read.
+/// The store rejected the configuration, or its head cannot be decoded.
 class ApplyRejectedError : public PublishError
 {
 public:
     using PublishError::PublishError;
 };
 
-/// Throws the PublishError that fits, unless the configuration is in force.
+/// Throws the PublishError that corresponds to the outcome, unless the configuration is in force.
 auto ensureInForce(const PublishResult &result) -> void;
 
-/// Applies a configuration through a store. Brings every step's failure into the result and throws nothing.
+/// Applies a configuration through a store. Reports the failure of any step in the result and throws nothing.
 template <store::PlatformStore Store>
 class ConfigurationPublisher
 {
--- a/include/stairspur/distribution/DistributionService.h
+++ b/include/stairspur/distribution/DistributionService.h
@@ -23,38 +23,41 @@
 /// Topic of the distribution's datagrams and control requests.
 inline constexpr auto ConfigTopic = "config";
 
-/// A whole configuration that stands in the store as one item.
+/// A whole configuration that the store contains as one item.
 struct WholeItem
 {
     std::uint64_t version = 0;
     config::Configuration configuration;
 };
 
-/// Where the store holds the configuration, when operators write it there by other means than `stairspur apply`.
+/// Locates and reads the store's configuration when operators write it by other means than `stairspur apply`.
 struct WholeItemSource
 {
-    std::string key;
+    std::string key; ///< Key of the item.
     /// Reads the item's value. Throws InputError.
     std::function<WholeItem(const std::string &value)> read;
 };
 
-/// What surrounds a node's distribution. All of it must outlive the service, and belongs to the control thread.
+/// Objects and callbacks that a node's distribution uses. All of them must outlive the service and are used only on the
+/// control thread.
 struct DistributionParts
 {
-    /// What membership believes now; asked at each tick. May return null before anything is known.
+    /// Returns membership's current view. Called at each tick; may return null before the first view exists.
     using View = std::function<std::shared_ptr<const membership::MembershipView>()>;
     /// Called on the control thread with each configuration that comes into force.
     using DidPublish = std::function<void(config::ConfigurationPtr)>;
 
     transport::PeerClient &peers;
     transport::DatagramChannel &datagrams;
-    store::AnyStore *store = nullptr; ///< Null: this node learns from peers alone.
+    store::AnyStore *store =
+            nullptr; ///< Null for a node that receives configurations only from peers.
     View view;
     DidPublish didPublish;
-    std::optional<WholeItemSource> source{}; ///< None: the head and sections that `apply` writes.
-    /// Called on the control thread when the configuration in force is proved to have been the newest later than before.
+    /// Source of whole items; unset when the store contains the head and sections that `apply` writes.
+    std::optional<WholeItemSource> source{};
+    /// Called on the control thread with each later time at which the configuration in force is proven to be the newest.
     std::function<void(TimePoint provenAt)> didProve{};
-    /// Called on the control thread when a connection to the store was found silent while a fresh one works.
+    /// Called on the control thread when a connection to the store was found silent while a new one works.
     std::function<void()> didFindSilence{};
 };
 
@@ -70,20 +73,21 @@
     auto operator=(const DistributionService &) -> DistributionService & = delete;
     auto operator=(DistributionService &&) -> DistributionService & = delete;
 
-    /// Takes the topic `config` of the datagram channel and begins.
+    /// Registers the handler of the datagram channel's topic `config` and starts the ticks.
     auto start() -> void;
+    /// Stops the ticks and cancels the watch.
     auto stop() -> void;
 
-    /// For PeerServer::setRequestHandler(ConfigTopic, ...). May be called on any thread: the work is done on the control
-    /// thread, whose io_context must be running.
+    /// Returns the handler for PeerServer::setRequestHandler(ConfigTopic, ...). It may be called on any thread: requests are
+    /// served on the control thread, whose io_context must be running.
     [[nodiscard]] auto requestHandler() const -> transport::PeerServer::RequestHandler;
 
-    /// The 24 bytes that every membership probe and ack carries.
+    /// Returns the 24 bytes that every membership probe and ack carries.
     [[nodiscard]] auto digest() const -> std::string;
-    /// What a probe or ack of `from` carried; empty bytes are passed over, malformed ones counted.
+    /// Processes the digest that a probe or ack of `from` carried. Empty bytes are ignored; malformed ones are counted.
     auto didReceiveDigest(const NodeId &from, std::string_view bytes) -> void;
 
-    /// Version 0: no configuration yet.
+    /// Returns the version in force; 0 before the first configuration.
     [[nodiscard]] auto version() const -> std::uint64_t;
     [[nodiscard]] auto hash() const -> std::string;
     [[nodiscard]] auto isRelay() const -> bool;
--- a/include/stairspur/distribution/DistributionState.h
+++ b/include/stairspur/distribution/DistributionState.h
@@ -18,13 +18,13 @@
 
 namespace stairspur::distribution {
 
-/// One node's part in bringing configurations into force everywhere, without I/O or clock: events go in, actions come
-/// out of takeActions().
+/// Implements one node's distribution of configurations without I/O or clock. Events are passed in; takeActions() returns
+/// the resulting actions.
 ///
-/// A node that takes a version into force tells a few random peers of its domain. Those who miss that learn from
-/// the digest on membership's probes and acks. Whoever hears of a newer version fetches what changed. A few relays in
-/// each domain follow the store's head, and tell members of the other domains, so that a domain cut off from the store
-/// still learns. Versions only go forward.
+/// A node that brings a version into force sends its digest to a few random peers of its domain. Nodes that miss it receive
+/// the digest on membership's probes and acks. A node that receives the digest of a newer version fetches the changes. A few
+/// relays in each domain follow the store's head and send digests to members of other domains, so that a domain that is cut
+/// off from the store also receives new versions. The version in force never decreases.
 template <typename Policy = DistributionPolicy>
 class DistributionState
 {
@@ -49,7 +49,7 @@
     auto operator=(DistributionState &&) -> DistributionState & = delete;
     ~DistributionState() = default;
 
-    /// Every node that is believed alive, this one included or not.
+    /// Sets the alive nodes of the membership view, which may include this node.
     auto setPeers(std::vector<Peer> alive) -> void
     {
         std::erase_if(alive, [&](const auto &it) { return it.node == m_context.self; });
@@ -81,7 +81,8 @@
     [[nodiscard]] auto digest() const -> Digest { return m_context.current.digest(); }
     [[nodiscard]] auto current() const -> const CurrentConfiguration & { return m_context.current; }
     [[nodiscard]] auto isRelay() const -> bool { return m_context.isRelay; }
-    /// When the configuration in force was the store's newest for certain; nothing: not known, or not kept.
+    /// Returns the last time at which the configuration in force was certainly the store's newest. Returns nothing without a
+    /// proof or when proofs are disabled.
     [[nodiscard]] auto provenAt() const -> std::optional<TimePoint>
     {
         return m_freshness.provenAt();
@@ -91,12 +92,13 @@
         return m_context.counters;
     }
 
+    /// Removes and returns the pending actions.
     [[nodiscard]] auto takeActions() -> std::vector<Action>
     {
         return std::exchange(m_context.actions, {});
     }
 
-    /// From a membership probe or ack of `from`.
+    /// Processes the digest on a membership probe or ack of `from`.
     auto didReceiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
         if (!Policy::HandlesDigests)
@@ -104,6 +106,7 @@
         processDigest(from, digest, now);
     }
 
+    /// Processes a datagram of `from`; a malformed one is counted.
     auto didReceiveDatagram(const NodeId &from, std::string_view payload, TimePoint now) -> void
     {
         m_context.counters.datagramBytesReceived += payload.size();
@@ -114,7 +117,7 @@
         }
     }
 
-    /// The reply to a peer's control request. Throws InputError when it cannot be read.
+    /// Returns the reply to a peer's control request. Throws InputError when the request cannot be decoded.
     [[nodiscard]] auto serve(std::string_view payload) const -> std::string
     {
         const auto request = decodePullRequest(payload);
@@ -127,6 +130,7 @@
         return encode(reply);
     }
 
+    /// Processes the reply to the control request `id`.
     auto didReceiveReply(std::uint64_t id, std::string_view payload, TimePoint now) -> void
     {
         m_context.counters.requestBytesReceived += payload.size();
@@ -145,13 +149,13 @@
         m_fetch.didFailRequest(id, now);
     }
 
-    /// The answer to ReadHead; nothing when the store has no head.
+    /// Processes the result of ReadHead; `head` is empty when the store has none.
     auto didReadHead(const std::optional<Head> &head, TimePoint now) -> void
     {
         adopt(m_follower.didReadHead(head, ConfigurationSource::Read, now), now);
     }
 
-    /// After didReadHead(): the read was sent at `sentAt`, so that this head was the newest then.
+    /// Records that `head` was the newest at `sentAt`, when the read was sent. To be called after didReadHead().
     auto didProveHead(const Head &head, TimePoint sentAt, TimePoint now) -> void
     {
         m_freshness.didReadHead(head.version, sentAt, now);
@@ -163,20 +167,21 @@
         m_freshness.didFailToReadHead(now);
     }
 
-    /// A read that was sent at `sentAt` found that a connection to the store has fallen silent; the watch may wait on another.
+    /// Records that a read sent at `sentAt` found a silent connection to the store. The connection of the watch may be silent
+    /// too, so the watch is closed and opened again.
     auto didFindSilence(TimePoint sentAt) -> void
     {
         if (m_watch.didFindSilence(sentAt))
             m_context.actions.emplace_back(CloseWatch{});
     }
 
-    /// A message of a relay's watch.
+    /// Processes a message of a relay's watch.
     auto didWatchHead(const Head &head, TimePoint now) -> void
     {
         adopt(m_follower.didReadHead(head, ConfigurationSource::Watch, now), now);
     }
 
-    /// Returns the pause before the next watch.
+    /// Records the end of the watch and returns the pause before the next one.
     auto didEndWatch(WatchEnding ending, TimePoint now) -> Duration
     {
         const auto pause = m_watch.didEnd(ending, now);
@@ -184,6 +189,7 @@
         return pause;
     }
 
+    /// Processes the result of ReadSections.
     auto didReadSections(const Blobs &blobs, TimePoint now) -> void
     {
         try {
@@ -196,7 +202,7 @@
 
     auto didFailToReadSections(TimePoint now) -> void { m_follower.didFailToReadSections(now); }
 
-    /// To be called several times a second.
+    /// Runs the timers. To be called several times a second.
     auto tick(TimePoint now) -> void
     {
         m_fetch.tick(now);
@@ -228,7 +234,7 @@
         const auto version = m_context.current.version();
         switch (datagram.kind) {
         case DatagramKind::CurrentVersion:
-            // Whoever tells of an older version has missed this one.
+            // A node that sends an older version has missed this one.
             if (datagram.digest.version < version)
                 m_context.sendVersion(from);
             break;
@@ -303,7 +309,7 @@
         adopt(m_follower.didAdopt(now), now);
     }
 
-    /// Tells a few random peers of the own domain, other than the one that this came from.
+    /// Sends the version to a few random peers of this node's domain, except the node that it was received from.
     auto sendToPeers(const NodeId &source) -> void
     {
         auto &peers = m_context.domainPeers;
@@ -316,7 +322,8 @@
         }
     }
 
-    /// Later rounds reach most of those whom the first left out, sooner than membership's next probe.
+    /// Sends the version to one more peer. Later rounds reach most of the nodes that the first one left out, sooner than
+    /// membership's next probe.
     auto sendToOneMore(TimePoint now) -> void
     {
         m_roundsLeft -= 1;
@@ -326,8 +333,9 @@
             m_context.sendVersion(peers[randomBelow(m_context.random, peers.size())]);
     }
 
-    /// A domain whose relays have lost the store should not wait for its turn. A few domains alone, so that the bytes don't grow
-    /// with their number; those tell further ones.
+    /// Sends a new version to a few other domains at once, so that a domain whose relays have lost the store does not wait
+    /// for its turn. The number of domains is limited so that the bytes sent do not grow with it; relays of the reached
+    /// domains send the version to further ones.
     auto sendToOtherDomains(TimePoint now) -> void
     {
         const auto n =
@@ -336,8 +344,8 @@
             sendToOtherDomain(now);
     }
 
-    /// One other domain at a time, in turn: the bytes don't grow with domains. Any of its members may be told, since its
-    /// relays may have stopped without anybody having noticed yet.
+    /// Sends the version to one other domain, each in turn, so that the bytes sent do not grow with the number of domains.
+    /// The receiver is a random member, since the domain's relays may have stopped without membership having detected it.
     auto sendToOtherDomain(TimePoint now) -> void
     {
         if (!Policy::SendsToOtherDomains || !m_context.isRelay || m_otherDomains.empty())
@@ -353,12 +361,12 @@
     HeadFollower<Policy> m_follower;
     Freshness<Policy> m_freshness;
     WatchSchedule m_watch;
-    std::vector<std::vector<NodeId>> m_otherDomains; ///< Their members.
-    std::size_t m_turn = 0;
+    std::vector<std::vector<NodeId>> m_otherDomains; ///< Members of each other domain.
+    std::size_t m_turn = 0; ///< Index of the other domain that was last sent the version.
     TimePoint m_nextCrossDomain{};
     std::uint32_t m_roundsLeft = 0;
     TimePoint m_nextRound{};
-    Digest m_alarmed;
+    Digest m_alarmed; ///< Digest of the last alarm, which is raised once.
 };
 
 } // namespace stairspur::distribution
--- a/include/stairspur/distribution/Freshness.h
+++ b/include/stairspur/distribution/Freshness.h
@@ -12,16 +12,17 @@
 
 namespace stairspur::distribution {
 
-/// Proves how lately the configuration in force was the newest, as a lease that every node renews without pause: whoever
-/// can't show it for some seconds must not trust keys that may have been taken away since.
+/// Maintains a proof of when the configuration in force was last the newest. The proof is a lease that every node renews
+/// continuously: a node without a proof from the last few seconds must not trust keys, which may have been revoked since.
 ///
-/// Only a linearizable read of the store proves anything, and only for the moment at which it was sent. The relays of a domain
-/// read in turn anyway. What a read proves goes from the reader to the other relays and from each node to those below it
-/// in a tree by rank (two parents each, so that one that is paused or gone delays nothing). It is pushed, so that its age
-/// does not grow with the steps, and yet no datagram that lay in a queue or behind a cut can pass for a new one: each
-/// proof is told as a time since the receiver's own Subscribe, whose sending the receiver noted by its own clock.
+/// Only a linearizable read of the store yields a proof, for the moment at which the read was sent. The relays of a domain
+/// read the head in turn. The reader sends its proof to the other relays, and each node sends it to its children in a tree
+/// by rank. Every node has two parents, so that a paused or stopped parent delays no proof. Proofs are pushed, so that their
+/// age does not grow with the depth of the tree. A proof is sent as a time since the receiver's own Subscribe, whose sending
+/// time the receiver recorded by its own clock. A datagram that was delayed in a queue or by a cut therefore never counts as
+/// a newer proof.
 ///
-/// Age at most with 1,077 hosts in a domain, 10 % loss and one relay paused: docs/measurements/freshness.md.
+/// docs/measurements/freshness.md has the maximum age for 1,077 hosts in a domain with 10 % loss and one relay paused.
 template <typename Policy>
 class Freshness
 {
@@ -30,24 +31,26 @@
         : m_context(context)
     {}
 
-    /// When the configuration in force was the newest for certain; nothing: never yet.
+    /// Returns the last time at which the configuration in force was certainly the newest, or nothing without a proof.
     [[nodiscard]] auto provenAt() const -> std::optional<TimePoint>
     {
         return m_proof.version > 0 ? std::optional(m_proof.at) : std::nullopt;
     }
 
-    /// A read of the store that was sent at `sentAt` found `version`.
+    /// Records that a read of the store sent at `sentAt` found `version`.
     auto didReadHead(std::uint64_t version, TimePoint sentAt, TimePoint now) -> void
     {
         m_nextRead = now;
         accept({version, sentAt}, now);
     }
 
+    /// Records that a read of the store failed and schedules the next one.
     auto didFailToReadHead(TimePoint now) -> void { m_nextRead = now + readPause(); }
 
-    /// Another configuration is in force; a proof may have waited for it.
+    /// Records that another configuration is in force and accepts the proof that was pending for it, if any.
     auto didAdopt(TimePoint now) -> void { accept(std::exchange(m_pending, Proof()), now); }
 
+    /// Adds or renews a subscriber and sends it the current proof.
     auto didReceiveSubscribe(const NodeId &from, std::uint64_t subscription, TimePoint now) -> void
     {
         std::erase_if(m_subscribers, [&](const auto &it) { return it.second.endsAt <= now; });
@@ -59,42 +62,47 @@
             confirm(from, subscriber);
     }
 
+    /// Accepts the proof in a confirmation if it answers a recent Subscribe of this process.
     auto didReceiveConfirm(const Confirmation &confirmation, TimePoint now) -> void
     {
-        const auto it = std::ranges::find(m_sentSubscribes, confirmation.subscription, &SentSubscribe::subscription);
+        const auto it = std::ranges::find(m_sentSubscribes, confirmation.subscription,
+                                          &SentSubscribe::subscription);
         if (it == m_sentSubscribes.end())
-            return; // Of an earlier life, or so old that it proves nothing of use.
+            return; // It answers a Subscribe of an earlier process instance, or one that is too old to prove anything useful.
         const auto start = Policy::CountsFromRequestTime ? it->sentAt : now;
         accept({confirmation.version, start + confirmation.sinceSubscription}, now);
     }
 
-    /// To be called several times a second.
+    /// Renews subscriptions and searches for proofs. To be called several times a second.
     auto tick(TimePoint now) -> void
     {
         if (!m_context.settings.isProvingFreshness)
             return;
         if (std::exchange(m_isStarted, true) == false)
             m_nextRead = now + StartPause;
-        std::erase_if(m_sentSubscribes, [&](const auto &it) { return it.sentAt + SubscribeLifetime < now; });
+        std::erase_if(m_sentSubscribes,
+                      [&](const auto &it) { return it.sentAt + SubscribeLifetime < now; });
         renewParents(now);
         updateAge(now);
         if (Policy::SearchesForProofs && age(now) > SilenceLimit && now >= m_nextSearch)
             search(now);
     }
 
-    /// Whether this node should read the store out of turn. Relays go first; the others are many.
+    /// Returns whether this node should read the store out of turn. Relays are due first, since other nodes are numerous.
     [[nodiscard]] auto isReadDue(TimePoint now) const -> bool
     {
         return Policy::SearchesForProofs && m_isOld && now >= m_nextRead;
     }
 
 private:
+    /// Proof that `version` was the store's newest at the time `at`.
     struct Proof
     {
         std::uint64_t version = 0;
         TimePoint at{};
     };
 
+    /// A Subscribe that this node sent.
     struct SentSubscribe
     {
         NodeId to;
@@ -102,6 +110,7 @@
         TimePoint sentAt;
     };
 
+    /// A node that receives proofs from this one.
     struct Subscriber
     {
         std::uint64_t subscription = 0;
@@ -109,32 +118,36 @@
         TimePoint endsAt;
     };
 
-    /// Children of each node in the tree. With two parents a node tells eight at most, where sixteen cost 3.3 KB a second at the
-    /// inner nodes (docs/measurements/freshness.md); 1,077 hosts are five steps deep, some milliseconds each.
+    /// Number of children of each node in the tree. Since each child has two parents, a node sends proofs to at most eight
+    /// nodes; sixteen cost 3.3 KB a second at the inner nodes (docs/measurements/freshness.md). The tree of 1,077 hosts is
+    /// five steps deep, and a step takes some milliseconds.
     static constexpr auto FanOut = std::size_t{4};
-    /// A few more than the tree has, for nodes that search.
+    /// Maximum number of subscribers: the children in the tree and some more for nodes that search.
     static constexpr auto MaxSubscribers = std::size_t{48};
-    /// A subscription is renewed long before its end, so that a lost datagram or two cost nothing.
+    /// Lifetime of a subscription. It is renewed at RenewInterval, so that it survives one or two lost datagrams.
     static constexpr auto SubscriptionTime = Duration{8'000'000};
     static constexpr auto RenewInterval = Duration{3'000'000};
-    /// Proofs told under older asks are of no use: they would count from too long ago.
+    /// Lifetime of a sent Subscribe. Proofs relative to an older one would be too old to be useful.
     static constexpr auto SubscribeLifetime = Duration{12'000'000};
-    /// A domain's relays read once in 1.2 s: whoever has heard of no proof for this long is cut off from them, or they from
-    /// the store.
+    /// Age of the proof at which a node starts to search. A domain's relays read once in 1.2 s, so a node without a newer
+    /// proof is cut off from them, or they are cut off from the store.
     static constexpr auto SilenceLimit = Duration{1'700'000};
     static constexpr auto SearchInterval = Duration{300'000};
-    /// A relay then reads for those whose turn it was; 0.2 s later the next one does.
+    /// Age of the proof at which a relay reads in place of the relay whose turn it was. The next relay does so 0.2 s later.
     static constexpr auto RelayReadLimit = Duration{1'500'000};
     static constexpr auto RelayRetryPause = Duration{500'000};
-    /// Others read for themselves once asking has not helped. A host may be the only one that reaches the store.
+    /// Age of the proof at which other nodes read the store after their search has failed. A host may be the only one that
+    /// reaches the store.
     static constexpr auto ReadLimit = Duration{2'300'000};
     static constexpr auto MemberRetryPause = Duration{1'500'000};
-    /// A node that starts hears from its parents, or as a relay reads at its turn, well within it.
+    /// Time after the start before the first read out of turn. Within it a node receives a proof from its parents or, as a
+    /// relay, reads in its turn.
     static constexpr auto StartPause = Duration{1'000'000};
-    /// Reads a second that the members of one domain make together while nobody gets an answer: 13 domains stay below a third
-    /// of 2,000 calls a second.
+    /// Reads a second by all members of one domain together while the store does not answer. With it 13 domains use less than
+    /// a third of 2,000 calls a second.
     static constexpr auto ReadsPerSecond = 50.0;
-    /// Two proofs of one read differ by what their ways took; only a newer read is worth telling on.
+    /// Minimum difference of a proof to the last one sent. Copies of one read's proof differ by their transmission times, and
+    /// only the proof of a newer read needs to be sent.
     static constexpr auto MinAdvance = Duration{100'000};
 
     [[nodiscard]] auto age(TimePoint now) const -> Duration
@@ -142,8 +155,8 @@
         return m_proof.version == 0 ? Duration::max() : now - m_proof.at;
     }
 
-    /// The members of a domain see their proofs grow old together. If they all read at once then, 1,077 hosts would ask as many
-    /// times in a tenth of a second.
+    /// Updates whether the proof is old, and schedules the read at a random time. The proofs of a domain's members become old
+    /// together; without the random delay 1,077 hosts would all read the store within a tenth of a second.
     auto updateAge(TimePoint now) -> void
     {
         const auto wasOld = m_isOld;
@@ -157,7 +170,7 @@
         return Duration(static_cast<Duration::rep>(static_cast<double>(time.count()) * share));
     }
 
-    /// Over which the reads of nodes with an old proof are spread.
+    /// Returns the time over which the reads of nodes with an old proof are spread.
     [[nodiscard]] auto spread() const -> Duration
     {
         if (m_context.isRelay)
@@ -207,7 +220,7 @@
         m_context.send(to, datagram);
     }
 
-    /// The nodes that this one hears proofs from: the other relays for a relay, two nodes of a smaller rank for the others.
+    /// Returns the nodes that send proofs to this one: the other relays for a relay, two nodes of a smaller rank otherwise.
     [[nodiscard]] auto parents() const -> std::vector<NodeId>
     {
         const auto &ranking = m_context.domainRanking;
@@ -239,7 +252,8 @@
         }
     }
 
-    /// Asks one node at random, of the own domain and of others by turns: a domain may have lost the store as a whole.
+    /// Subscribes to one random node, alternately of this node's domain and of any domain, since a whole domain may have lost
+    /// the store.
     auto search(TimePoint now) -> void
     {
         m_nextSearch = now + SearchInterval;
@@ -255,16 +269,17 @@
     auto readPause() -> Duration { return partOf(spread(), 0.5 + randomUnit(m_context.random)); }
 
     DistributionContext &m_context;
-    Proof m_proof;     ///< Of the configuration in force.
-    Proof m_pending;   ///< Of a newer one that is still being fetched.
-    Proof m_sentProof; ///< The last that subscribers were told of.
+    Proof m_proof;     ///< Proof of the configuration in force.
+    Proof m_pending;   ///< Proof of a newer configuration that is still being fetched.
+    Proof m_sentProof; ///< Last proof that was sent to subscribers.
     std::vector<SentSubscribe> m_sentSubscribes;
     std::map<NodeId, Subscriber> m_subscribers;
     TimePoint m_nextSearch{};
     TimePoint m_nextRead{};
     bool m_isSearchingFar = false;
     bool m_isStarted = false;
-    bool m_isOld = false; ///< The proof is so old that this node should read the store itself.
+    bool m_isOld =
+            false; ///< Whether the proof is so old that this node should read the store itself.
 };
 
 } // namespace stairspur::distribution
--- a/include/stairspur/distribution/Head.h
+++ b/include/stairspur/distribution/Head.h
@@ -11,71 +11,78 @@
 
 namespace stairspur::distribution {
 
+/// Key of the head in the store.
 inline constexpr auto HeadKey = std::string_view("/stairspur/config/head");
+/// Prefix of the keys of sections, which end in the hash of the value.
 inline constexpr auto SectionPrefix = std::string_view("/stairspur/config/section/");
 
-/// Apply ids and changes that a head remembers. An applier that lost its answer finds its id among them.
+/// Maximum number of apply ids and of changes that a head records. An applier whose answer was lost looks for its id there.
 inline constexpr auto MaxRecordedApplies = std::size_t{16};
 inline constexpr auto MaxRecordedChanges = std::size_t{4};
-/// Changes of more sections than this are not listed: readers load the whole instead.
+/// Maximum number of sections in a recorded change. After a larger change readers load all sections.
 inline constexpr auto MaxListedChange = std::size_t{32};
-/// A section that is no longer named stays for this many versions, for readers that are on their way.
+/// Number of versions for which a section that is no longer named stays in the store, for readers of an older head.
 inline constexpr auto RetirementVersions = std::uint64_t{16};
 
-/// The hashes that one version changed, by section name; empty for a section that it removed.
+/// Hashes of the sections that one version changed, by section name. The hash of a removed section is empty.
 struct HeadChange
 {
     std::uint64_t version = 0;
     std::map<std::string, std::string> hashes;
 };
 
+/// An apply that the head records.
 struct HeadApply
 {
     std::string id;
     std::uint64_t version = 0;
 };
 
-/// The value of the one key that decides which configuration is in force. It stays near a kilobyte whatever the number
-/// of sections, because a relay gets it with every change.
+/// Value of the single key that determines which configuration is in force. Its size stays near a kilobyte for any number
+/// of sections, because each relay receives it with every change.
 struct Head
 {
     std::uint64_t version = 0;
-    std::string hash; ///< Of the whole configuration, in hexadecimal digits.
+    std::string hash; ///< Hash of the whole configuration in hexadecimal digits.
     std::string applyId;
     std::string appliedBy;
-    std::int64_t appliedAtMs = 0;    ///< Wall clock of the applier, since 1970; for people only.
-    std::string listHash;            ///< Of the root of the list of sections.
-    std::vector<HeadApply> applies;  ///< The last ones, oldest first.
-    std::vector<HeadChange> changes; ///< The last ones, oldest first; gaps where one was too large.
-
+    std::int64_t appliedAtMs =
+            0;            ///< Applier's wall clock in milliseconds since 1970; only displayed.
+    std::string listHash; ///< Hash of the root of the list of sections.
+    std::vector<HeadApply> applies; ///< Last applies, oldest first.
+    std::vector<HeadChange>
+            changes; ///< Last changes, oldest first, without those that were too large.
+
+    /// Returns the recorded apply with this id, or null.
     [[nodiscard]] auto findApply(std::string_view id) const -> const HeadApply *;
-    /// What changed after `version`, or nothing when the head no longer tells.
+    /// Returns the changes after `version`, or nothing when the head does not record all of them.
     [[nodiscard]] auto changesSince(std::uint64_t version) const
             -> std::optional<std::map<std::string, std::string>>;
 };
 
 auto encodeHead(const Head &head) -> std::string;
-/// Throws InputError when `bytes` are not a head.
+/// Decodes a head. Throws InputError when `bytes` is malformed.
 auto decodeHead(std::string_view bytes) -> Head;
 
-/// The name and hash of every section, kept in the store as a root and 32 buckets so that a change rewrites two small
-/// values instead of one that grows with the number of services.
+/// Names and hashes of all sections. The store contains the list as a root and 32 buckets, so that a change rewrites two
+/// small values instead of one that grows with the number of services.
 struct SectionList
 {
     static constexpr auto Buckets = std::size_t{32};
 
     config::SectionHashes hashes;
-    /// Hashes no longer named, and since which version.
+    /// Hashes that are no longer named, with the first version that does not name them.
     std::map<std::string, std::uint64_t> retired;
 };
 
+/// Root of the list of sections.
 struct ListRoot
 {
-    std::vector<std::string> buckets; ///< Hash of each; empty for a bucket without sections.
+    std::vector<std::string> buckets; ///< Hash of each bucket; empty for a bucket without sections.
     std::map<std::string, std::uint64_t> retired;
 };
 
-/// A list as the store holds it: blobs by hash.
+/// A list of sections in the form that is stored: blobs by hash.
 struct EncodedList
 {
     std::string rootHash;
@@ -83,10 +90,11 @@
 };
 
 auto encodeList(const SectionList &list) -> EncodedList;
-/// These throw InputError.
+/// Decode the root and a bucket of a list. Both throw InputError when `bytes` is malformed.
 auto decodeRoot(std::string_view bytes) -> ListRoot;
 auto decodeBucket(std::string_view bytes) -> config::SectionHashes;
 
+/// Returns the key of the value with this hash.
 auto sectionKey(const std::string &hash) -> std::string;
 
 } // namespace stairspur::distribution
--- a/include/stairspur/distribution/HeadFollower.h
+++ b/include/stairspur/distribution/HeadFollower.h
@@ -13,11 +13,11 @@
 
 namespace stairspur::distribution {
 
-/// Values of the store by their hash.
+/// Values in the store by their hash.
 using Blobs = std::map<std::string, std::string>;
 
-/// Follows the store's head. A relay hears of each head by its watch; and since no watch can tell silence from quiet, the
-/// relays of a domain also read the head in turn. Other nodes read only when they have nobody else to ask.
+/// Follows the store's head. A relay receives each head by its watch. A watch cannot distinguish a silent connection from an
+/// unchanged head, so the relays of a domain also read the head in turn. Other nodes read only when no peer sends anything.
 template <typename Policy>
 class HeadFollower
 {
@@ -27,7 +27,8 @@
         , m_backoff(context.settings.minBackoff, context.settings.staleAfter / 4)
     {}
 
-    /// A watch's message, or the answer to ReadHead. Nothing: the store has no head.
+    /// Processes a message of the watch or the result of ReadHead; `head` is empty when the store has none. Returns a newer
+    /// configuration if no sections have to be read for it.
     auto didReadHead(const std::optional<Head> &head, ConfigurationSource source, TimePoint now)
             -> std::optional<Adoption>
     {
@@ -44,20 +45,23 @@
         m_head = *head;
         m_headSource = source;
         if (m_isReadingSections)
-            return std::nullopt; // Taken up once those are there.
+            return std::nullopt; // This head is loaded after the pending read of sections.
         return load(now);
     }
 
+    /// Records that ReadHead failed and sets the pause before the next read.
     auto didFailToReadHead(TimePoint now) -> void
     {
         m_isReadingHead = false;
         m_notBefore = now + pauseAfterFailure();
     }
 
+    /// Processes the result of ReadSections. Returns the configuration if its sections are complete and match the hash.
     auto didReadSections(const Blobs &blobs, TimePoint now) -> std::optional<Adoption>
     {
         m_isReadingSections = false;
-        if (!isNewer<Policy>(digestOf(m_loading.version, m_loading.hash), m_context.current.digest()))
+        if (!isNewer<Policy>(digestOf(m_loading.version, m_loading.hash),
+                             m_context.current.digest()))
             return next(now);
         auto changes = m_isWhole ? wholeOf(blobs) : changesOf(blobs);
         if (changes) {
@@ -72,6 +76,7 @@
         return std::nullopt;
     }
 
+    /// Records that ReadSections failed; the head is read again after a pause.
     auto didFailToReadSections(TimePoint now) -> void
     {
         m_isReadingSections = false;
@@ -79,18 +84,19 @@
         m_notBefore = now + pauseAfterFailure();
     }
 
-    /// Something newer is in force: a head that came meanwhile may be newer still.
+    /// Records that a newer configuration is in force, and loads a head that was received meanwhile if it is newer still.
     auto didAdopt(TimePoint now) -> std::optional<Adoption>
     {
-        // All relays of a domain take a version into force at nearly the same time, which sets their turns apart.
+        // All relays of a domain bring a version into force at nearly the same time, so this spaces their turns.
         m_nextRead = now + m_context.settings.headPollInterval * (m_context.relayRank + 1);
         return m_isReadingSections ? std::nullopt : next(now);
     }
 
+    /// Reads the head if it is due.
     auto tick(TimePoint now) -> void
     {
         if (std::exchange(m_wasRelay, m_context.isRelay) != m_context.isRelay)
-            m_notBefore = now; // The other role's pauses are longer than a relay may wait.
+            m_notBefore = now; // The pauses of a node that is not a relay are too long for a relay.
         if (!m_context.hasStore || m_isReadingHead || m_isReadingSections || now < m_notBefore)
             return;
         if (m_start == TimePoint{})
@@ -104,7 +110,7 @@
         read();
     }
 
-    /// Reads the head now, whoever's turn it is.
+    /// Reads the head now, regardless of the turns.
     auto readOutOfTurn() -> void
     {
         if (m_context.hasStore && !m_isReadingHead && !m_isReadingSections)
@@ -112,7 +118,8 @@
     }
 
 private:
-    /// So many reads in a row that find an older head than the one in force are no race with the news of a newer one.
+    /// Number of consecutive reads with an older head than the one in force that raises an alarm. Fewer may be a race with a
+    /// newer version that arrived by another way.
     static constexpr auto ReadsForAlarm = 3U;
 
     [[nodiscard]] auto isReadDue(TimePoint now) const -> bool
@@ -125,7 +132,8 @@
         return now - std::max(m_context.lastReceivedAt, m_start) >= settings.staleAfter;
     }
 
-    /// The next turn is counted from this one's time, not from when it was taken, so that relays' turns stay apart.
+    /// Schedules the next turn relative to the scheduled time of this one instead of its start, so that relays' turns stay
+    /// apart.
     auto scheduleNextTurn(TimePoint now) -> void
     {
         const auto period = m_context.settings.headPollInterval * m_context.relayCount;
@@ -134,7 +142,8 @@
             m_nextRead = now + period;
     }
 
-    /// A relay goes on at its turns, so that a store that is back is read in time; the many others leave it alone longer.
+    /// Returns the pause after a failed read. A relay pauses no longer than its turns, so that a store that is reachable again
+    /// is read in time. The other nodes are numerous and pause longer.
     auto pauseAfterFailure() -> Duration
     {
         const auto pause = m_backoff.next(m_context.random);
@@ -211,7 +220,7 @@
         return std::nullopt;
     }
 
-    /// Sections are missing or do not add up: the whole is read, and after that the head anew.
+    /// Handles missing or mismatched sections: reads all sections, and if that does not help, the head again.
     auto didMissSections(TimePoint now) -> void
     {
         if (!m_isWhole) {
@@ -263,17 +272,17 @@
     store::Backoff m_backoff;
     TimePoint m_start{};
     TimePoint m_notBefore{};
-    TimePoint m_nextRead{};     ///< A relay's next turn.
-    bool m_isReadNeeded = true; ///< No head has been read, or its sections could not be.
+    TimePoint m_nextRead{};     ///< Time of a relay's next turn.
+    bool m_isReadNeeded = true; ///< Whether no head has been read, or reading its sections failed.
     bool m_wasRelay = false;
     bool m_isReadingHead = false;
     bool m_isReadingSections = false;
     bool m_isWhole = false;
-    Head m_head; ///< The newest that was seen.
+    Head m_head; ///< Newest head that was received.
     ConfigurationSource m_headSource = ConfigurationSource::Read;
-    Head m_loading; ///< The one whose sections are being read.
+    Head m_loading; ///< Head whose sections are being read.
     ConfigurationSource m_loadingSource = ConfigurationSource::Read;
-    std::map<std::string, std::string> m_needed;
+    std::map<std::string, std::string> m_needed; ///< Hashes of the changed sections by name.
     std::uint32_t m_readsBehind = 0;
     Digest m_alarmed;
 };
--- a/include/stairspur/distribution/Messages.h
+++ b/include/stairspur/distribution/Messages.h
@@ -5,61 +5,66 @@
 #include <string_view>
 
 #include <stairspur/core/EnumNames.h>
-#include <stairspur/distribution/Digest.h>
 #include <stairspur/distribution/CurrentConfiguration.h>
+#include <stairspur/distribution/Digest.h>
 
-/// What nodes tell each other about configurations, in CBOR.
+/// Messages about configurations between nodes, in CBOR.
 namespace stairspur::distribution {
 
+/// Kinds of datagrams.
 enum class DatagramKind {
-    CurrentVersion,      ///< "This version is in force here."
-    ChangesRequest,       ///< "I have this version: what changed since?"
-    Delta,     ///< What changed, when it fits.
-    TooLarge,     ///< The answer to an ChangesRequest that does not fit: use a control request.
-    Subscribe, ///< "Tell me under this number whenever you learn that a version is the newest."
-    Confirm,   ///< The answers to a Subscribe.
+    CurrentVersion, ///< Announces the version in force on the sender.
+    ChangesRequest, ///< Requests the changes since the sender's version.
+    Delta,          ///< Contains the changes if they fit into a datagram.
+    TooLarge, ///< Answers a ChangesRequest whose changes do not fit; a control request can read them.
+    Subscribe, ///< Requests a Confirm with this number for each proof that a version is the newest.
+    Confirm,   ///< Answers a Subscribe.
 };
 
-/// That a version was the store's newest at a moment, told without trusting any clock of day: the moment is counted from when
-/// the sender got the receiver's Subscribe, which the receiver knows to have sent before that.
+/// Confirms that a version was the store's newest at a moment. No wall clocks are compared: the moment is relative to the
+/// time at which the sender received the receiver's Subscribe, which is after the receiver sent it.
 struct Confirmation
 {
-    std::uint64_t subscription = 0; ///< The number that the Subscribe had.
+    std::uint64_t subscription = 0; ///< Number of the Subscribe.
     std::uint64_t version = 0;
-    Duration sinceSubscription{0}; ///< May be negative: the proof was there before.
+    Duration sinceSubscription{
+            0}; ///< Time of the proof after the Subscribe; negative for an earlier proof.
 };
 
+/// A datagram of the distribution.
 struct ConfigDatagram
 {
     DatagramKind kind = DatagramKind::CurrentVersion;
-    Digest digest;           ///< Of the sender.
-    std::uint64_t since = 0; ///< For Delta: the version that the changes are based on.
-    Changes changes;         ///< For Delta.
-    /// For Confirm; of a Subscribe the number alone.
+    Digest digest;           ///< Digest of the sender's configuration.
+    std::uint64_t since = 0; ///< Version that the changes of a Delta are based on.
+    Changes changes;         ///< Changes of a Delta.
+    /// Content of a Confirm; a Subscribe uses only the number.
     Confirmation confirmation{};
 };
 
 auto encode(const ConfigDatagram &datagram) -> std::string;
-/// Throws InputError.
+/// Decodes a datagram. Throws InputError when it is malformed.
 auto decodeDatagram(std::string_view bytes) -> ConfigDatagram;
 
-/// "What changed since `since` (0: everything), after the section `cursor`?"
+/// Requests the changes since the version `since` (0 for all sections) after the section `cursor`.
 struct PullRequest
 {
     std::uint64_t since = 0;
     std::string cursor;
 };
 
+/// The reply to a PullRequest.
 struct PullReply
 {
-    Digest digest; ///< Of the replying node, whose version this is; version 0: it has none.
-    std::uint64_t since = 0; ///< 0 when the reply is a piece of the whole.
+    Digest digest; ///< Digest of the replying node's configuration; version 0 if it has none.
+    std::uint64_t since =
+            0; ///< Version that the changes are based on; 0 for a piece of all sections.
     ChangesPiece piece;
 };
 
 auto encode(const PullRequest &request) -> std::string;
 auto encode(const PullReply &reply) -> std::string;
-/// These throw InputError.
+/// Decode a request and a reply. Both throw InputError when `bytes` is malformed.
 auto decodePullRequest(std::string_view bytes) -> PullRequest;
 auto decodePullReply(std::string_view bytes) -> PullReply;
 
--- a/include/stairspur/distribution/PeerFetch.h
+++ b/include/stairspur/distribution/PeerFetch.h
@@ -12,8 +12,8 @@
 
 namespace stairspur::distribution {
 
-/// Fetches what is newer from peers: by datagram where the changes fit into one, else by control requests, piece by
-/// piece. One fetch at a time; a failure moves on to another peer after a jittered backoff.
+/// Fetches newer configurations from peers: by datagram if the changes fit into one, otherwise by control requests, piece by
+/// piece. Only one fetch runs at a time. After a failure the next fetch uses another peer after a backoff with jitter.
 template <typename Policy>
 class PeerFetch
 {
@@ -23,12 +23,12 @@
         , m_backoff(context.settings.minBackoff, context.settings.maxBackoff)
     {}
 
-    /// Notes who has a newer version.
+    /// Records `from` as a source if its version is newer.
     auto didReceiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
         if (!isNewer<Policy>(digest, m_context.current.digest())) {
             if (m_stage == Stage::Querying && m_peer == from)
-                didFail(now); // Asked, and has nothing newer after all.
+                didFail(now); // The queried peer has nothing newer.
             return;
         }
         m_newest = std::max(m_newest, digest.version);
@@ -39,6 +39,7 @@
         startIfDue(now);
     }
 
+    /// Returns the configuration that results from a delta if it is newer and matches its digest.
     auto didReceiveDelta(const NodeId &from, const ConfigDatagram &delta, TimePoint now)
             -> std::optional<Adoption>
     {
@@ -47,19 +48,21 @@
             return std::nullopt;
         auto candidate = current.assemble(delta.changes, false);
         if (matchesDigest(candidate, delta.digest))
-            return Adoption{delta.digest.version, std::move(candidate), ConfigurationSource::Delta, from};
+            return Adoption{delta.digest.version, std::move(candidate), ConfigurationSource::Delta,
+                            from};
         if (m_stage == Stage::Querying && m_peer == from)
             loadWhole(now);
         return std::nullopt;
     }
 
-    /// The peer's changes do not fit into a datagram.
+    /// Handles that the peer's changes do not fit into a datagram.
     auto didReceiveTooLarge(const NodeId &from, TimePoint now) -> void
     {
         if (m_stage == Stage::Querying && m_peer == from)
             pull(m_context.current.version(), now);
     }
 
+    /// Processes the reply to a control request. Returns the configuration if this was the last piece and the hash matches.
     auto didReceiveReply(std::uint64_t id, const PullReply &reply, TimePoint now)
             -> std::optional<Adoption>
     {
@@ -85,13 +88,14 @@
         return std::nullopt;
     }
 
+    /// Records that the control request `id` failed.
     auto didFailRequest(std::uint64_t id, TimePoint now) -> void
     {
         if (m_stage == Stage::Pulling && id == m_requestId)
             didFail(now);
     }
 
-    /// Something newer is in force, wherever it came from.
+    /// Records that a newer configuration is in force, from any source.
     auto didAdopt(TimePoint now) -> void
     {
         m_backoff.reset();
@@ -102,6 +106,7 @@
         startIfDue(now);
     }
 
+    /// Checks the timeout and starts a fetch if one is due.
     auto tick(TimePoint now) -> void
     {
         if (m_stage != Stage::Idle && now >= m_deadline)
@@ -112,8 +117,8 @@
 private:
     enum class Stage {
         Idle,
-        Querying,  ///< A datagram is on its way.
-        Pulling, ///< A control request is.
+        Querying, ///< A datagram has been sent.
+        Pulling,  ///< A control request has been sent.
     };
 
     static constexpr auto MaxSources = std::size_t{8};
@@ -122,7 +127,8 @@
 
     [[nodiscard]] auto isUnconfigured() const -> bool { return m_context.current.version() == 0; }
 
-    auto matchesDigest(const CurrentConfiguration::Candidate &candidate, const Digest &digest) -> bool
+    auto matchesDigest(const CurrentConfiguration::Candidate &candidate, const Digest &digest)
+            -> bool
     {
         if constexpr (!Policy::VerifiesHash)
             return true;
@@ -149,11 +155,13 @@
             sendQuery(now);
     }
 
-    /// The one that told last; without any, a random peer, which may have it by now.
+    /// Returns the source that announced a newer version last. Without sources it returns a random peer, which may have
+    /// received the version meanwhile.
     auto takeSource() -> NodeId
     {
         if (m_sources.empty())
-            return Policy::RetriesOtherPeers || isUnconfigured() ? m_context.randomPeer() : NodeId();
+            return Policy::RetriesOtherPeers || isUnconfigured() ? m_context.randomPeer()
+                                                                 : NodeId();
         auto peer = std::move(m_sources.back());
         m_sources.pop_back();
         return peer;
@@ -166,8 +174,8 @@
         m_context.send(m_peer, {DatagramKind::ChangesRequest, m_context.current.digest(), 0, {}});
     }
 
-    /// An unanswered datagram is sent once more; then a control request asks the same peer, since TCP sends again what
-    /// a bad network loses.
+    /// Handles a timeout. An unanswered datagram is sent once more. Then a control request queries the same peer, since TCP
+    /// retransmits what a bad network loses.
     auto didTimeOut(TimePoint now) -> void
     {
         if (m_stage == Stage::Pulling)
@@ -205,7 +213,8 @@
                                                    m_context.settings.pullTimeout});
     }
 
-    /// The first piece, or the peer has moved on since the last one. False: pieces of two versions would be mixed.
+    /// Starts a set of pieces with the first reply. Returns false if the peer's version has changed since the last piece, and
+    /// starts again, since pieces of two versions must not be mixed.
     auto startPieces(const PullReply &reply, TimePoint now) -> bool
     {
         const auto isFirst = m_digest.version == 0;
@@ -228,7 +237,8 @@
         auto candidate = m_context.current.assemble(m_collected, m_isWhole);
         if (matchesDigest(candidate, m_digest)) {
             m_context.counters.wholeLoads += m_isWhole ? 1 : 0;
-            return Adoption{m_digest.version, std::move(candidate), ConfigurationSource::Pull, m_peer};
+            return Adoption{m_digest.version, std::move(candidate), ConfigurationSource::Pull,
+                            m_peer};
         }
         if (m_isWhole)
             didFail(now);
@@ -249,19 +259,19 @@
     DistributionContext &m_context;
     store::Backoff m_backoff;
     std::vector<NodeId> m_sources;
-    std::uint64_t m_newest = 0; ///< The newest version that any peer has told of.
+    std::uint64_t m_newest = 0; ///< Newest version that any peer has announced.
     Stage m_stage = Stage::Idle;
     NodeId m_peer;
     TimePoint m_deadline{};
     TimePoint m_notBefore{};
     std::uint64_t m_requestId = 0;
     std::uint64_t m_since = 0;
-    Digest m_digest; ///< What the pieces belong to.
+    Digest m_digest; ///< Digest of the configuration that the pieces belong to.
     Changes m_collected;
     std::size_t m_collectedBytes = 0;
     bool m_isWhole = false;
     std::uint32_t m_restarts = 0;
-    std::uint32_t m_unanswered = 0; ///< Datagrams to the peer of this fetch.
+    std::uint32_t m_unanswered = 0; ///< Unanswered datagrams to the peer of this fetch.
 };
 
 } // namespace stairspur::distribution
--- a/include/stairspur/distribution/PublishProtocol.h
+++ b/include/stairspur/distribution/PublishProtocol.h
@@ -20,47 +20,58 @@
 
 namespace stairspur::distribution {
 
+/// Outcome of an apply.
 enum class PublishOutcome {
-    Applied,
-    AlreadyInForce,   ///< The very same configuration was in force; nothing was written.
-    Conflict,         ///< Another applier came first; `inForce` names what it applied.
-    StoreUnavailable, ///< Nothing of this apply is or will be in force.
-    Unknown,          ///< The store's answer was lost and its state could not be read.
-    Rejected,         ///< The store refuses this configuration.
+    Applied,          ///< The configuration came into force.
+    AlreadyInForce,   ///< The same configuration was in force; nothing was written.
+    Conflict,         ///< Another applier changed the head first; `inForce` is its head.
+    StoreUnavailable, ///< The apply is not in force and cannot come into force later.
+    Unknown,          ///< The store's answer was lost and its state could not be determined.
+    Rejected,         ///< The store rejected the configuration, or its state cannot be decoded.
 };
 
+/// Result of an apply.
 struct PublishResult
 {
     PublishOutcome outcome = PublishOutcome::Unknown;
-    std::uint64_t version = 0; ///< Under which it was applied, for `Applied`.
-    Head inForce;              ///< As last read or written; version 0 when unknown.
-    std::string detail;
+    std::uint64_t version = 0; ///< Version of the applied configuration, for `Applied`.
+    Head inForce;              ///< Head that was last read or written; version 0 if there is none.
+    std::string detail;        ///< Cause of the outcome in words.
 };
 
-/// What the protocol asks of the store next.
+/// Next request of the protocol to the store.
 using StoreRequest = std::variant<store::RangeRequest, store::Transaction>;
 
-/// The guards of the protocol. Tests take one away at a time to show that the fault matrix sees it.
+/// The guards of the protocol. Tests disable one at a time to show that the fault matrix detects its absence.
 struct PublishPolicy
 {
-    static constexpr auto ComparesHead = true;     ///< The head is written by compare-and-swap.
-    static constexpr auto LooksForOwnApply = true; ///< After a lost answer, before anything else.
-    static constexpr auto KeepsRetiredSections = true; ///< For readers that are on their way.
+    /// The head is written by compare-and-swap.
+    static constexpr auto ComparesHead = true;
+    /// After a lost answer the head is first searched for the id of this apply.
+    static constexpr auto LooksForOwnApply = true;
+    /// Sections that are no longer named stay for readers of an older head.
+    static constexpr auto KeepsRetiredSections = true;
+    /// Sections are written before the head that names them.
     static constexpr auto WritesSectionsFirst = true;
-    static constexpr auto ReportsEvictedApplies = true; ///< Says unknown when the head forgot.
+    /// The outcome is Unknown if the head may no longer record this apply.
+    static constexpr auto ReportsEvictedApplies = true;
 };
 
-/// Applies one configuration, step by step and without I/O: ask next(), carry the request out, hand in its result.
+/// Applies one configuration step by step and without I/O. The caller executes the request that next() returns and passes
+/// its result in.
 ///
-/// Sections are stored by their hash and change nothing by themselves. The head is the only switch; its write is bound
-/// to the revision that was read, so that of several appliers one wins and a repeated write does no harm.
+/// Sections are stored by their hash and have no effect by themselves. Only the head determines what is in force. Its write
+/// is conditional on the revision that was read, so that one of several concurrent appliers succeeds and a repeated write has
+/// no effect.
 template <typename Policy = PublishPolicy>
 class PublishProtocol
 {
 public:
-    static constexpr auto MaxOperations = std::size_t{100};     ///< etcd's default limit is 128.
-    static constexpr auto MaxWriteBytes = std::size_t{500'000}; ///< Values hold up to a megabyte.
-    static constexpr auto MaxVerifications = 8U;
+    static constexpr auto MaxOperations =
+            std::size_t{100}; ///< Operations of a transaction; etcd's default limit is 128.
+    static constexpr auto MaxWriteBytes =
+            std::size_t{500'000}; ///< Bytes of a transaction; a value may have up to a megabyte.
+    static constexpr auto MaxVerifications = 8U; ///< Reads of the head after a lost answer.
 
     explicit PublishProtocol(PublishRequest request)
         : m_request(std::move(request))
@@ -70,13 +81,14 @@
     }
 
     [[nodiscard]] auto isDone() const -> bool { return m_step == Step::Done; }
-    /// Only while not done.
+    /// Returns the next request. To be called only while isDone() is false.
     [[nodiscard]] auto next() const -> const StoreRequest & { return m_next; }
-    /// Only when done.
+    /// Returns the result. To be called only when isDone() is true.
     [[nodiscard]] auto result() const -> const PublishResult & { return m_result; }
-    /// Whether the next request repeats one that failed, so that a pause before it makes sense.
+    /// Returns whether the next request repeats a failed one, so that the caller should pause before it.
     [[nodiscard]] auto isRepeating() const -> bool { return m_verifications > 0; }
 
+    /// Processes the result of a RangeRequest.
     auto didReceiveRange(const store::StoreResult<store::RangeAnswer> &result) -> void
     {
         if (!result.isOk())
@@ -93,6 +105,7 @@
         }
     }
 
+    /// Processes the result of a Transaction.
     auto didReceiveTxn(const store::StoreResult<store::WriteAnswer> &result) -> void
     {
         if (result.status == store::StoreStatus::Rejected && !m_mayBeWritten)
@@ -141,7 +154,7 @@
         end(PublishOutcome::Applied, {});
     }
 
-    /// The configuration that is in force is another's, and ours never will be under this apply id.
+    /// Ends the apply because another applier's configuration is in force, so that this apply cannot come into force later.
     auto didLoseRace(Head head) -> void
     {
         m_result.inForce = std::move(head);
@@ -172,7 +185,7 @@
         m_next = store::RangeRequest{.key = sectionKey(hash)};
     }
 
-    /// Reads the list of the configuration in force, but for the buckets that are the same as ours.
+    /// Reads the list of the configuration in force, except buckets that are the same in the new list.
     auto didReadList(const store::RangeAnswer &answer) -> void
     {
         if (answer.pairs.empty())
@@ -194,11 +207,12 @@
         requestBlob(m_bucketsToRead.front());
     }
 
-    /// A part of the list is gone: the head has moved on since it was read, which the comparison would find as well.
+    /// Starts again with the head, since a part of the list is missing. The head has changed since it was read, and the
+    /// comparison of its revision would fail as well.
     auto restart() -> void
     {
         if (++m_restarts > MaxRestarts)
-            return end(PublishOutcome::StoreUnavailable, "the list of sections is not whole");
+            return end(PublishOutcome::StoreUnavailable, "the list of sections is incomplete");
         m_base = {};
         m_baseRevision = 0;
         m_bucketsToRead.clear();
@@ -225,7 +239,7 @@
         return piece;
     }
 
-    /// Writes a piece of the sections alone, or the last one together with the head: all of it or nothing.
+    /// Writes a piece of the sections, or the last piece together with the head in one atomic transaction.
     auto writeNext() -> void
     {
         auto transaction = store::Transaction();
@@ -254,7 +268,7 @@
                 detail);
     }
 
-    /// The head's write may or may not have been applied: only the head can tell.
+    /// Reads from the head whether its write was applied, after the answer to the write was lost.
     auto didVerifyWrite(const store::RangeAnswer &answer) -> void
     {
         const auto &pairs = answer.pairs;
@@ -265,7 +279,8 @@
             return didApply(own->version, std::move(head));
         if (revision == m_baseRevision) {
             if (++m_verifications > MaxVerifications)
-                return end(PublishOutcome::Unknown, "the store takes neither yes nor no");
+                return end(PublishOutcome::Unknown,
+                           "the store neither confirms nor refuses the write");
             m_step = Step::WriteHead;
             m_next = m_headWrite;
             return;
@@ -291,7 +306,7 @@
     store::Revision m_baseRevision = 0;
     std::deque<std::string> m_bucketsToRead;
     WritePlan m_plan;
-    bool m_mayBeWritten = false; ///< An earlier write of the head went without an answer.
+    bool m_mayBeWritten = false; ///< Whether an earlier write of the head got no answer.
     std::uint32_t m_verifications = 0;
     std::uint32_t m_restarts = 0;
     PublishResult m_result;
--- a/include/stairspur/distribution/PublishRequest.h
+++ b/include/stairspur/distribution/PublishRequest.h
@@ -12,11 +12,13 @@
 struct PublishRequest
 {
     config::Sections sections;
-    std::string applyId; ///< Unique for each run.
+    std::string applyId; ///< Unique id of the run.
     std::string appliedBy;
-    std::int64_t wallClockMs = 0;
-    std::optional<std::uint64_t> expectedVersion; ///< Refuse unless this version is in force.
-    std::uint64_t minimumVersion = 1; ///< Above what nodes have in force, when a store was emptied.
+    std::int64_t wallClockMs = 0; ///< Applier's wall clock in milliseconds since 1970.
+    std::optional<std::uint64_t>
+            expectedVersion; ///< Version that must be in force for the apply to proceed.
+    std::uint64_t minimumVersion =
+            1; ///< Lower bound of the new version, above that of the nodes if a store was emptied.
 };
 
 } // namespace stairspur::distribution
--- a/include/stairspur/distribution/WatchSchedule.h
+++ b/include/stairspur/distribution/WatchSchedule.h
@@ -10,38 +10,38 @@
 
 namespace stairspur::distribution {
 
-/// What a node has to do about its watch of the store's head.
+/// Next step for a node's watch of the store's head.
 enum class WatchStep {
     Open,
     Close,
 };
 
-/// Why a watch has ended, as far as it decides when the next one begins.
+/// Why a watch has ended, as far as it determines when the next one starts.
 enum class WatchEnding {
-    HistoryLost, ///< The store no longer knows what came after the last message.
-    Other,       ///< Cut, refused, cancelled, or the store was not reached.
+    HistoryLost, ///< The store has discarded the changes after the last message.
+    Other,       ///< The watch was cut, refused or cancelled, or the store was not reached.
 };
 
-/// How long a node must have been a relay before its first watch. Each node that starts takes itself for the only one of its
-/// failure domain until it has heard of others, so that all hosts that start at once would open watches and give them up.
-/// Until then its reads in turn tell it of versions.
+/// Time for which a node must have been a relay before its first watch. A starting node is the only member of its failure
+/// domain until it receives others from membership, so without this time all hosts that start together would open watches
+/// and close them again. Until the first watch a relay finds new versions by its reads in turn.
 inline constexpr auto WatchSettling = Duration{1'000'000};
 
-/// When a node opens and closes its watch of the store's head, without I/O or clock. Relays alone watch.
+/// Schedules a node's watch of the store's head without I/O or clock. Only relays watch.
 ///
-/// A relay without a watch hears of a new version only by its reads, so its pauses count towards the time within which a
-/// version has to be in force (2 s on the smallest deployments): they start anew after each watch that held for a while,
-/// and a lost history is answered at once.
+/// A relay without a watch finds a new version only by its reads, so the pauses between watches count towards the time within
+/// which a version has to be in force (2 s on the smallest deployments). The pauses are therefore reset after each watch that
+/// lasted for a while, and a watch that ended by lost history is opened again at once.
 class WatchSchedule
 {
 public:
-    /// `settling`: how long a node must be a relay before its first watch.
+    /// Creates a schedule; `settling` is the time for which a node must have been a relay before its first watch.
     explicit WatchSchedule(std::uint64_t seed, Duration settling = Duration::zero())
         : m_random(seed)
         , m_settling(settling)
     {}
 
-    /// What is to be done now, if anything. To be called several times a second and after each didEnd().
+    /// Returns the step that is due now, if any. To be called several times a second and after each didEnd().
     auto next(bool isRelay, TimePoint now) -> std::optional<WatchStep>
     {
         if (m_stage == Stage::Open && !isRelay) {
@@ -62,8 +62,8 @@
         return WatchStep::Open;
     }
 
-    /// A connection to the store had fallen silent by `time`, so that a watch that was open then may have too. True: it is to
-    /// be closed, and next() opens another as soon as it has ended.
+    /// Records that a connection to the store was silent at `time`, so that the connection of a watch that was open then may
+    /// be silent too. Returns true if the watch is to be closed; next() opens another one as soon as it has ended.
     auto didFindSilence(TimePoint time) -> bool
     {
         if (m_stage != Stage::Open || m_openedAt >= time)
@@ -73,7 +73,7 @@
         return true;
     }
 
-    /// The watch has ended. Returns the pause before the next one.
+    /// Records that the watch has ended and returns the pause before the next one.
     auto didEnd(WatchEnding ending, TimePoint now) -> Duration
     {
         m_stage = Stage::Closed;
@@ -89,12 +89,12 @@
 private:
     enum class Stage {
         Closed,
-        Open,    ///< Asked for, or waiting for messages.
-        Closing, ///< Cancelled; its end is still to come.
+        Open,    ///< The watch is requested or receives messages.
+        Closing, ///< The watch is cancelled but has not ended yet.
     };
 
-    /// The watch after a lost history begins with the present head, so there is nothing to wait for; but a store that
-    /// loses it again and again is not asked without a pause.
+    /// Returns the pause before the next watch. The watch after a lost history starts with the current head and needs no pause,
+    /// but a store that loses its history repeatedly is queried with pauses.
     auto pauseAfter(WatchEnding ending) -> Duration
     {
         if (std::exchange(m_isRenewing, false))
@@ -107,21 +107,22 @@
     }
 
     static constexpr auto MinPause = Duration{100'000};
-    /// A quarter of the 2 s within which a version has to be in force. While the store refuses, 39 relays (three in each of
-    /// 13 failure domains) make some 180 calls a second (worked out, each of three attempts), of the 2,000 that it answers.
+    /// Longest pause, a quarter of the 2 s within which a version has to be in force. While the store refuses, 39 relays (three
+    /// in each of 13 failure domains, three attempts for each call) make about 180 of the 2,000 calls a second that it answers.
     static constexpr auto MaxPause = Duration{500'000};
-    /// A watch that held for so long was no refusal.
+    /// Time after which a watch counts as accepted rather than refused.
     static constexpr auto SteadyAfter = Duration{1'000'000};
 
     Random m_random;
-    Duration m_settling; ///< Nothing after the first watch.
+    Duration m_settling; ///< Settling time; zero after the first watch.
     std::optional<TimePoint> m_relaySince;
     store::Backoff m_backoff{MinPause, MaxPause};
     Stage m_stage = Stage::Closed;
     TimePoint m_notBefore{};
     TimePoint m_openedAt{};
-    bool m_isRenewing = false;      ///< It was closed in order to be opened anew.
-    bool m_didRepeatAtOnce = false; ///< Since a watch last held for a while.
+    bool m_isRenewing = false; ///< Whether the watch was closed in order to be opened again.
+    bool m_didRepeatAtOnce =
+            false; ///< Whether a watch was opened without a pause since one last lasted for a while.
 };
 
 } // namespace stairspur::distribution
--- a/include/stairspur/distribution/WritePlan.h
+++ b/include/stairspur/distribution/WritePlan.h
@@ -9,26 +9,26 @@
 
 namespace stairspur::distribution {
 
-/// Sections that one write of the head deletes at most; the others wait for the next.
+/// Maximum number of sections that one write of the head deletes. Later writes delete the others.
 inline constexpr auto MaxDeletions = std::size_t{40};
 
-/// What was in force when an apply began.
+/// State of the store when an apply began.
 struct WriteBase
 {
-    Head head; ///< Version 0: nothing.
+    Head head; ///< Head in force; version 0 if there is none.
     ListRoot root;
-    config::SectionHashes hashes; ///< Of the buckets that differ from the new ones.
+    config::SectionHashes hashes; ///< Hashes in the buckets that differ from the new ones.
 };
 
-/// What an apply writes.
+/// Writes of an apply.
 struct WritePlan
 {
     Head head;
-    std::vector<store::Operation> missing;   ///< Values by hash that the store lacks.
-    std::vector<store::Operation> deletions; ///< Of values that nobody needs any more.
+    std::vector<store::Operation> missing;   ///< Writes of values that the store lacks.
+    std::vector<store::Operation> deletions; ///< Deletions of values that are no longer needed.
 };
 
-/// Works out the step from `base` to the configuration of `request`.
+/// Returns the writes that lead from `base` to the configuration of `request`.
 auto planWrites(const WriteBase &base, const PublishRequest &request, bool keepsRetired)
         -> WritePlan;
 
--- a/source/distribution/CurrentConfiguration.cpp
+++ b/source/distribution/CurrentConfiguration.cpp
@@ -76,13 +76,13 @@
     }
     if (m_removedAt.size() <= MaxRemoved)
         return;
-    // Who lacks more removals than are remembered gets the whole.
+    // Nodes with versions older than the recorded removals receive all sections.
     m_removedAt.clear();
     m_firstVersion = version;
 }
 
 auto CurrentConfiguration::changesSince(std::uint64_t version, const std::string &cursor,
-                                      std::size_t maxBytes) const -> ChangesPiece
+                                        std::size_t maxBytes) const -> ChangesPiece
 {
     const auto since = hasChangesSince(version) ? version : 0;
     auto piece = ChangesPiece();
--- a/source/distribution/Digest.cpp
+++ b/source/distribution/Digest.cpp
@@ -49,7 +49,7 @@
         const auto *end = digits.data() + std::min(index + 2, digits.size());
         const auto [stop, ec] = std::from_chars(begin, end, value, HexBase);
         if (ec != std::errc() || stop != begin + 2)
-            throw InputError("a hash has other characters than pairs of hexadecimal digits",
+            throw InputError("a hash contains characters other than pairs of hexadecimal digits",
                              "run one protocol version of stairspur on all nodes");
         bytes.push_back(static_cast<char>(value));
     }
--- a/source/distribution/DistributionService.cpp
+++ b/source/distribution/DistributionService.cpp
@@ -23,7 +23,7 @@
 
 static constexpr auto TickInterval = Duration{100'000};
 
-/// What the coroutines share with their service, so that they may end after it.
+/// State that the service shares with its coroutines, so that a coroutine may end after the service.
 class DistributionService::Runner : public std::enable_shared_from_this<Runner>
 {
 public:
@@ -65,7 +65,7 @@
         carryOut();
     }
 
-    /// Moves a peer's request from its thread to the control thread and back.
+    /// Serves a peer's request, received on any thread, on the control thread.
     static auto serveAnywhere(std::shared_ptr<Runner> self, std::string payload)
             -> Task<std::string>
     {
@@ -89,7 +89,7 @@
         co_return self->m_state.serve(payload);
     }
 
-    /// Runs a coroutine whose locals keep this object alive.
+    /// Runs a coroutine and keeps this object alive until it ends.
     auto spawn(Task<void> task) -> void
     {
         asio::co_spawn(m_control, std::move(task),
@@ -201,7 +201,7 @@
             for (auto &action : actions)
                 std::visit([this](auto &it) { carryOut(std::move(it)); }, action);
         }
-        // After the configuration that the proof speaks of, so that nobody finds the proof without it.
+        // The proof is published after its configuration, so that no reader finds the proof without it.
         if (m_isStopped || !m_parts.didProve || m_state.provenAt() == m_provenAt)
             return;
         m_provenAt = m_state.provenAt();
@@ -269,7 +269,7 @@
     auto loadSections(ReadSections action) -> Task<void>
     {
         if (const auto &whole = m_headReader.wholeItem()) {
-            // The item that gave the head has brought all sections with it.
+            // The item that contained the head also contained all sections.
             m_state.didReadSections(whole->blobs, monotonicNow());
             carryOut();
             co_return;
@@ -325,10 +325,11 @@
     transport::Timer m_ticker;
     std::shared_ptr<const membership::MembershipView> m_view;
     transport::CancellationPtr m_watch;
-    store::Revision m_watchRevision = 0; ///< Where the next watch begins; 0: with the present head.
+    store::Revision m_watchRevision =
+            0; ///< Revision at which the next watch starts; 0 for the current head.
     HeadReader m_headReader;
     std::uint64_t m_malformedDigests = 0;
-    std::optional<TimePoint> m_provenAt; ///< As last told.
+    std::optional<TimePoint> m_provenAt; ///< Time that was last passed to didProve.
     bool m_isStopped = false;
 };
 
--- a/source/distribution/Head.cpp
+++ b/source/distribution/Head.cpp
@@ -16,7 +16,7 @@
 static constexpr auto UnreadableRemedy =
         "check that every applier runs a stairspur that writes this format, then apply again";
 
-/// Hashes travel as bytes: half the size of their digits.
+/// Returns a hash as bytes, which have half the size of its digits.
 static auto toBytes(const std::string &hex) -> Json
 {
     const auto bytes = bytesOfHex(hex);
--- a/source/distribution/Messages.cpp
+++ b/source/distribution/Messages.cpp
@@ -22,7 +22,7 @@
     return {bytes.begin(), bytes.end()};
 }
 
-/// Datagrams and replies are arrays: names of fields would be a good part of their bytes.
+/// Returns changes as an array, as all datagrams and replies are, since names of fields would be a large part of their size.
 static auto changesJson(const Changes &changes) -> Json
 {
     auto changed = Json::object();
@@ -40,7 +40,7 @@
     return changes;
 }
 
-/// A proof that is further from its subscription than this is of no use, and its time could overflow.
+/// Maximum distance of a proof from its subscription. A larger one is useless, and its time could overflow.
 static constexpr auto MaxSinceSubscription = Duration{3'600'000'000};
 
 static auto confirmationJson(const Confirmation &it) -> Json
--- a/source/distribution/StoreReading.cpp
+++ b/source/distribution/StoreReading.cpp
@@ -7,7 +7,7 @@
 
 namespace stairspur::distribution {
 
-/// A page of sections, some hundred bytes each, stays well below the client's limit for an answer.
+/// Number of sections in a page. With some hundred bytes each, a page stays well below the client's limit for an answer.
 static constexpr auto SectionsPerPage = std::int64_t{500};
 
 auto readHeadValue(const std::string &value) -> HeadReading
@@ -75,7 +75,7 @@
 }
 
 auto addAnswer(const store::StoreResult<store::RangeAnswer> &answer,
-                std::vector<store::RangeRequest> &requests, Blobs &blobs) -> bool
+               std::vector<store::RangeRequest> &requests, Blobs &blobs) -> bool
 {
     if (!answer.isOk())
         return false;
--- a/source/distribution/StoreReading.h
+++ b/source/distribution/StoreReading.h
@@ -12,20 +12,20 @@
 
 namespace stairspur::distribution {
 
-/// What a read of the head gave; `isOk` with no head: there is none in the store.
+/// Result of reading the head. `isOk` without a head means that the store has none.
 struct HeadReading
 {
     bool isOk = false;
     std::optional<Head> head;
 };
 
-/// The head in a key's value. Unreadable ones are logged and count as a failure.
+/// Decodes the head in a key's value. A malformed one is logged and counts as a failure.
 auto readHeadValue(const std::string &value) -> HeadReading;
 
-/// The head in the answer to a read of its key.
+/// Decodes the head in the answer to a read of its key.
 auto readHeadAnswer(const store::StoreResult<store::RangeAnswer> &answer) -> HeadReading;
 
-/// Reads heads in the form in which the store holds the configuration.
+/// Reads heads in the form in which the store contains the configuration.
 class HeadReader
 {
 public:
@@ -33,15 +33,17 @@
         : m_source(std::move(source))
     {}
 
+    /// Returns the key of the head or of the whole item.
     [[nodiscard]] auto key() const -> std::string;
 
-    /// The head in a key's value, or that of the whole item there. Unreadable ones are logged and count as a failure.
+    /// Decodes the head in a key's value, or the head of the whole item there. A malformed one is logged and counts as a
+    /// failure.
     auto readValue(const std::string &value) -> HeadReading;
 
-    /// The same from the answer to a read of the key.
+    /// Does the same with the answer to a read of the key.
     auto readAnswer(const store::StoreResult<store::RangeAnswer> &answer) -> HeadReading;
 
-    /// The last whole item, which has brought all sections with it; none where head and sections stand apart.
+    /// Returns the last whole item, which contains all sections, or nothing if the store has head and sections separately.
     [[nodiscard]] auto wholeItem() const -> const std::optional<SplitItem> & { return m_wholeItem; }
 
 private:
@@ -49,12 +51,12 @@
     std::optional<SplitItem> m_wholeItem;
 };
 
-/// The reads that give these sections: one key for each hash; the whole prefix, page by page, without any.
+/// Returns the requests that read these sections: one key for each hash, or without hashes all keys with the prefix in pages.
 auto requestsFor(const std::vector<std::string> &hashes) -> std::vector<store::RangeRequest>;
 
-/// Takes in the answer to the last of `requests`, and leaves the one for the next page if there is one. False: the store
-/// failed.
+/// Adds the answer to the last of `requests` to `blobs`. Replaces that request with the one for the next page, or removes it
+/// if there is none. Returns false if the store failed.
 auto addAnswer(const store::StoreResult<store::RangeAnswer> &answer,
-                std::vector<store::RangeRequest> &requests, Blobs &blobs) -> bool;
+               std::vector<store::RangeRequest> &requests, Blobs &blobs) -> bool;
 
 } // namespace stairspur::distribution
--- a/source/distribution/WholeItemSplitter.h
+++ b/source/distribution/WholeItemSplitter.h
@@ -6,14 +6,14 @@
 
 namespace stairspur::distribution {
 
-/// A whole item in the form that nodes exchange: a head, and every blob that the head leads to.
+/// A whole item in the form that nodes exchange: a head and all blobs that it refers to.
 struct SplitItem
 {
     Head head;
     Blobs blobs;
 };
 
-/// Splits an item. The same item gives the same head on every host.
+/// Splits an item. The same item results in the same head on every host.
 auto splitWholeItem(const WholeItem &item) -> SplitItem;
 
 } // namespace stairspur::distribution
--- a/source/distribution/WritePlan.cpp
+++ b/source/distribution/WritePlan.cpp
@@ -10,7 +10,7 @@
     return std::ranges::find(hashes, hash) != hashes.end();
 }
 
-/// What the changes of `hashes` against the base are. Buckets that were not read are the same in both.
+/// Returns the changes from the base to `hashes`. Buckets that were not read are the same in both.
 static auto changeOf(const WriteBase &base, const config::SectionHashes &hashes,
                      const EncodedList &own) -> HeadChange
 {
@@ -31,7 +31,7 @@
     return change;
 }
 
-/// What nothing names from `version` on, and what was so before.
+/// Returns the hashes that are not named from the new version on, together with those retired before.
 static auto retiredSince(const WriteBase &base, const config::SectionHashes &hashes,
                          const EncodedList &own, const HeadChange &change)
         -> std::map<std::string, std::uint64_t>
@@ -54,7 +54,8 @@
     return retired;
 }
 
-/// Takes out of `retired` what has stayed long enough: it goes with the same write that moves the head.
+/// Removes from `retired` the values that have stayed long enough, and returns their deletions. They are deleted in the same
+/// write that changes the head.
 static auto takeDeletions(std::map<std::string, std::uint64_t> &retired, std::uint64_t version,
                           bool keepsRetired) -> std::vector<store::Operation>
 {
@@ -69,6 +70,7 @@
     return deletions;
 }
 
+/// Returns the writes of sections and buckets that the store lacks.
 static auto missingValues(const WriteBase &base, const PublishRequest &request,
                           const EncodedList &list, const HeadChange &change)
         -> std::vector<store::Operation>
@@ -82,7 +84,7 @@
         if (!contains(base.root.buckets, hash))
             missing.push_back({.key = sectionKey(hash), .value = bytes});
     }
-    // Sections of the same content have one key, which a transaction may write only once.
+    // Sections with the same content have the same key, which a transaction may write only once.
     std::ranges::sort(missing, {}, &store::Operation::key);
     const auto [first, last] = std::ranges::unique(missing, {}, &store::Operation::key);
     missing.erase(first, last);
