--- a/tests/distribution/DistributionScenarios.h
+++ b/tests/distribution/DistributionScenarios.h
@@ -8,7 +8,8 @@
 
 #include "FakeCluster.h"
 
-/// Scenarios of faults while configurations spread. Each returns what it found broken: nothing with the real guards.
+/// Fault scenarios for the distribution of configurations. Each returns the violations that it found, which are none with the
+/// real guards.
 namespace stairspur::distribution {
 
 using namespace std::chrono_literals;
@@ -33,20 +34,20 @@
     cluster.apply(sectionsOf(mark), "apply-" + std::to_string(mark));
 }
 
-/// What must hold at any time: no node went back, and none mixes two versions.
+/// Checks what must hold at any time: no node returned to an older version, and none mixes two versions.
 template <typename Policy>
 auto checkOrder(FakeCluster<Policy> &cluster, const std::string &name, Violations &found) -> void
 {
     for (const auto &[id, node] : cluster.nodes) {
         if (!std::ranges::is_sorted(node.versions, std::less_equal<>()))
-            found.push_back(name + ": " + id + " went back");
+            found.push_back(name + ": " + id + " returned to an older version");
         const auto hash = config::hashOf(node.state->current().sections());
         if (node.state->current().version() > 0 && hash != node.state->current().hash())
             found.push_back(name + ": " + id + " has sections of two versions");
     }
 }
 
-/// What must hold at every end: all have what is in force, and none ever went back.
+/// Checks what must hold at the end: all nodes have the version in force, and none ever returned to an older one.
 template <typename Policy>
 auto check(FakeCluster<Policy> &cluster, Duration limit, const std::string &name, Violations &found)
         -> void
@@ -67,7 +68,7 @@
 {
     applyNext(cluster, 0);
     check(cluster, 10s, name + " start", found);
-    cluster.run(WatchSettling); // What a relay hears of by its watch is part of most scenarios.
+    cluster.run(WatchSettling); // Most scenarios need relays that watch the head.
 }
 
 template <typename Policy>
@@ -78,7 +79,7 @@
         auto cluster = FakeCluster<Policy>(2, 8, seed);
         cluster.lossShare = 0.3;
         cluster.duplicateShare = 0.3;
-        cluster.maxLatency = 300ms; // Reorders everything.
+        cluster.maxLatency = 300ms; // This reorders all messages.
         startUp(cluster, "damage", found);
         for (auto mark = 1; mark <= 6; ++mark) {
             applyNext(cluster, mark);
@@ -89,8 +90,8 @@
     return found;
 }
 
-/// A tenth of all datagrams lost: still in force everywhere within the five seconds that are allowed; nearly a third:
-/// within ten.
+/// Loses a tenth of all datagrams, with which a version must be in force everywhere within the five seconds that are
+/// allowed, and nearly a third, with a limit of ten seconds.
 template <typename Policy>
 auto runHeavyLoss() -> Violations
 {
@@ -107,24 +108,24 @@
     return found;
 }
 
-/// Without rumors, the digests on membership's messages are enough.
+/// Loses all datagrams after an apply. The digests on membership's messages must suffice to spread the version.
 template <typename Policy>
-auto runMissedNews() -> Violations
+auto runLostDatagrams() -> Violations
 {
     auto found = Violations();
     for (const auto seed : Seeds) {
         auto cluster = FakeCluster<Policy>(1, 10, seed);
-        startUp(cluster, "missed news", found);
+        startUp(cluster, "lost datagrams", found);
         cluster.lossShare = 1;
         applyNext(cluster, 1);
         cluster.run(300ms);
         cluster.lossShare = 0;
-        check(cluster, 15s, "missed news", found);
+        check(cluster, 15s, "lost datagrams", found);
     }
     return found;
 }
 
-/// One node can't be reached, can't reach others, or both; then the cut heals.
+/// Cuts one node's incoming messages, outgoing messages, or both, then ends the cut.
 template <typename Policy>
 auto runCutPeer() -> Violations
 {
@@ -147,27 +148,27 @@
     return found;
 }
 
-/// The peer that told first never answers: the version must come from another.
+/// The peer that announces a version first never answers, so the version must be fetched from another one.
 template <typename Policy>
-auto runDeafSource() -> Violations
+auto runUnresponsiveSource() -> Violations
 {
     auto found = Violations();
     for (const auto seed : Seeds) {
         auto cluster = FakeCluster<Policy>(1, 6, seed);
         cluster.hasDigests = false;
-        startUp(cluster, "deaf source", found);
+        startUp(cluster, "unresponsive source", found);
         const auto id = cluster.nodes.rbegin()->first;
         cluster.nodes[id].mayReachStore = false;
         cluster.isCut = [id](const auto &from, const auto &) { return from == id; };
         applyNext(cluster, 1);
         cluster.run(1s);
         cluster.isCut = [](const auto &, const auto &) { return false; };
-        check(cluster, 15s, "deaf source", found);
+        check(cluster, 15s, "unresponsive source", found);
     }
     return found;
 }
 
-/// All watches stay open and say nothing.
+/// All watches stay open but send no messages.
 template <typename Policy>
 auto runSilentWatch() -> Violations
 {
@@ -182,7 +183,7 @@
     return found;
 }
 
-/// Relays are paused, die, or lose the store, one after the other, at the moment of an apply.
+/// Two relays are paused, crash, or lose the store at the moment of an apply.
 template <typename Policy>
 auto runRelays() -> Violations
 {
@@ -191,12 +192,12 @@
         for (const auto fault : {0, 1, 2}) {
             auto cluster = FakeCluster<Policy>(2, 6, seed);
             startUp(cluster, "relays", found);
-            auto struck = std::vector<NodeId>();
+            auto faulty = std::vector<NodeId>();
             for (const auto &[id, node] : cluster.nodes) {
-                if (node.state->isRelay() && struck.size() < 2 && node.domain == "d0")
-                    struck.push_back(id);
+                if (node.state->isRelay() && faulty.size() < 2 && node.domain == "d0")
+                    faulty.push_back(id);
             }
-            for (const auto &it : struck) {
+            for (const auto &it : faulty) {
                 if (fault == 0)
                     cluster.pause(it);
                 else if (fault == 1)
@@ -210,7 +211,7 @@
                 cluster.shareView();
             applyNext(cluster, 2);
             cluster.run(3s);
-            for (const auto &it : struck) {
+            for (const auto &it : faulty) {
                 if (fault == 0)
                     cluster.resume(it);
             }
@@ -220,7 +221,7 @@
     return found;
 }
 
-/// A whole domain loses the store, but not its peers.
+/// A whole domain loses its connection to the store, but not to its peers.
 template <typename Policy>
 auto runCutDomain() -> Violations
 {
@@ -236,7 +237,7 @@
     return found;
 }
 
-/// Domains lose each other and the store while versions come, then all heals.
+/// Domains are cut off from each other, and all but one from the store, while versions are applied. Then the cuts end.
 template <typename Policy>
 auto runPartition() -> Violations
 {
@@ -259,7 +260,7 @@
     return found;
 }
 
-/// Nodes restart with nothing while the store is down, with and without digests to listen to.
+/// Nodes restart without a configuration while the store is down and membership carries no digests.
 template <typename Policy>
 auto runRestart() -> Violations
 {
@@ -280,7 +281,7 @@
     return found;
 }
 
-/// The store is down or slow when a node starts alone, and comes back.
+/// The store is down when the nodes start and answers later, with a short or a long latency.
 template <typename Policy>
 auto runStoreOutage() -> Violations
 {
@@ -298,7 +299,8 @@
     return found;
 }
 
-/// The store is emptied and another file applied under a version that is in force: alarm, and the first one stays.
+/// The store is emptied and another file is applied under a version that is in force. An alarm must be raised, and the first
+/// configuration must stay in force.
 template <typename Policy>
 auto runTwoHashes() -> Violations
 {
@@ -324,7 +326,7 @@
     return found;
 }
 
-/// A fork: half of the nodes have another configuration under one version. The next version must reach both halves.
+/// Half of the nodes have another configuration under the same version. The next version must reach both halves.
 template <typename Policy>
 auto runFork() -> Violations
 {
@@ -352,7 +354,7 @@
     return found;
 }
 
-/// The store goes back to an older head: an alarm, and nobody follows.
+/// The store returns to an older head. An alarm must be raised, and no node may return to the older version.
 template <typename Policy>
 auto runStoreBehind() -> Violations
 {
@@ -368,7 +370,7 @@
     for (const auto &[id, node] : cluster.nodes) {
         alarms += node.alarms.size();
         if (node.state->current().version() != 2)
-            found.push_back("store behind: " + id + " went back");
+            found.push_back("store behind: " + id + " returned to an older version");
     }
     if (alarms == 0)
         found.emplace_back("store behind: no alarm");
@@ -376,7 +378,7 @@
     return found;
 }
 
-/// A peer whose sections do not add up to what it claims.
+/// A peer sends sections that do not match its digest.
 template <typename Policy>
 auto runDamagedSections() -> Violations
 {
--- a/tests/distribution/FakeCluster.h
+++ b/tests/distribution/FakeCluster.h
@@ -18,7 +18,7 @@
 
 namespace stairspur::distribution {
 
-/// A few nodes with a fake store and a fake network on a virtual clock, for the tests of the distribution.
+/// Nodes with a fake store and a fake network on a virtual clock, for the tests of the distribution.
 template <typename Policy>
 class FakeCluster : public VirtualClock
 {
@@ -45,7 +45,7 @@
         start(id);
     }
 
-    /// A process that starts with nothing, under an id that may have been there before.
+    /// Starts a process without a configuration, under an id that an earlier process may have had.
     auto start(const NodeId &id) -> void
     {
         auto &node = nodes[id];
@@ -54,7 +54,7 @@
         node.isAlive = true;
         node.isPaused = false;
         node.watch = {.generation = node.watch.generation + 1};
-        node.waiting.clear();
+        node.pendingEvents.clear();
         node.versions.clear();
         node.sources.clear();
     }
@@ -66,12 +66,12 @@
     auto resume(const NodeId &id) -> void
     {
         nodes[id].isPaused = false;
-        for (const auto &it : std::exchange(nodes[id].waiting, {}))
+        for (const auto &it : std::exchange(nodes[id].pendingEvents, {}))
             it();
         drain(id);
     }
 
-    /// Tells every node who is alive, as membership would.
+    /// Passes the alive nodes to every node, as membership does.
     auto shareView() -> void
     {
         auto peers = std::vector<Peer>();
@@ -99,16 +99,16 @@
         return protocol.result();
     }
 
-    /// Each open watch that is not silent tells of the head.
+    /// Sends the head to each open watch that is not silent.
     auto notifyWatches() -> void
     {
         for (auto &[id, node] : nodes) {
             if (node.watch.isOpen)
-                tellHead(id);
+                sendHead(id);
         }
     }
 
-    /// The connections of all open watches are reset. `isHistoryGone`: the store refuses to go on from where they were.
+    /// Resets the connections of all open watches. With `isHistoryGone` the store refuses to continue from their revision.
     auto cutWatches(bool isHistoryGone) -> void
     {
         for (auto &[id, node] : nodes) {
@@ -119,14 +119,14 @@
         }
     }
 
-    /// All watches that are open now stay open and say nothing more; new ones work.
+    /// Makes all watches that are open now silent without ending them. New watches work.
     auto silenceWatches() -> void
     {
         for (auto &[id, node] : nodes)
-            node.watch.isDeaf = node.watch.isOpen;
+            node.watch.isSilent = node.watch.isOpen;
     }
 
-    /// Every connection that is open now carries nothing more; nobody is told. New ones work.
+    /// Makes every connection that is open now silent without an error. New connections work.
     auto silenceConnections() -> void
     {
         silenceWatches();
@@ -147,13 +147,13 @@
         }
     }
 
-    /// What the clock of a node shows: no two need to agree.
+    /// Returns the time of a node's own clock. The clocks of nodes may differ.
     [[nodiscard]] auto clockOf(const NodeId &id) const -> TimePoint
     {
         return now + nodes.at(id).clockOffset;
     }
 
-    /// Runs until every living node has the store's head in force, or the time is up.
+    /// Runs until every running node has the store's head in force, or until the time limit.
     auto runUntilCovered(Duration limit) -> bool
     {
         const auto end = now + limit;
@@ -163,7 +163,7 @@
         return isCovered(hash);
     }
 
-    /// Whether every living node has the configuration of this hash in force.
+    /// Returns whether every running node has the configuration of this hash in force.
     [[nodiscard]] auto isCovered(const std::string &hash) const -> bool
     {
         return std::ranges::all_of(nodes, [&](const auto &it) {
@@ -171,14 +171,14 @@
         });
     }
 
-    /// Hands what a node wants done to the fakes.
+    /// Executes the pending actions of a node with the fakes.
     auto drain(const NodeId &id) -> void
     {
         for (auto &action : nodes[id].state->takeActions())
             std::visit([&](auto &it) { carryOut(id, it); }, action);
     }
 
-    /// A message between nodes, which may be lost, late and twice.
+    /// Sends a message between nodes, which may be lost, delayed and duplicated.
     auto transmit(const NodeId &from, const NodeId &to, const std::function<void()> &event) -> void
     {
         const auto copies = randomUnit(random) < duplicateShare ? 2 : 1;
@@ -225,7 +225,7 @@
         if (!node.isAlive)
             return;
         if (node.isPaused) {
-            node.waiting.push_back(event);
+            node.pendingEvents.push_back(event);
             return;
         }
         event();
@@ -246,7 +246,7 @@
         }
     }
 
-    /// A membership probe of a random node of the domain and its ack, each with a digest.
+    /// Sends a membership probe to a random node of the domain and its ack, each with a digest.
     auto probe(const NodeId &id) -> void
     {
         auto others = std::vector<const NodeId *>();
@@ -262,8 +262,9 @@
         transmit(id, to, [this, id, to, digest] {
             nodes[to].state->didReceiveDigest(id, digest, clockOf(to));
             const auto own = nodes[to].state->digest();
-            transmit(to, id,
-                     [this, id, to, own] { nodes[id].state->didReceiveDigest(to, own, clockOf(id)); });
+            transmit(to, id, [this, id, to, own] {
+                nodes[id].state->didReceiveDigest(to, own, clockOf(id));
+            });
         });
     }
 
@@ -294,7 +295,7 @@
         });
     }
 
-    /// A control request on a link that works, and its reply.
+    /// Sends a control request on a working link, and its reply.
     auto exchange(const NodeId &id, const SendRequest &action,
                   const std::shared_ptr<bool> &isAnswered) -> void
     {
@@ -333,8 +334,8 @@
             if (isStoreDown || !node.mayReachStore || isRefused)
                 return endWatch(id, isRefused ? WatchEnding::HistoryLost : WatchEnding::Other);
             node.watch.isOpen = true;
-            node.watch.isDeaf = false;
-            tellHead(id);
+            node.watch.isSilent = false;
+            sendHead(id);
         });
     }
 
@@ -354,11 +355,12 @@
         });
     }
 
-    /// The watch of a node tells of the head that the store has now.
-    auto tellHead(const NodeId &id) -> void
+    /// Sends the store's current head to the watch of a node.
+    auto sendHead(const NodeId &id) -> void
     {
         auto &node = nodes[id];
-        if (isWatchSilent || node.watch.isDeaf || !node.mayReachStore || store.head().version == 0)
+        if (isWatchSilent || node.watch.isSilent || !node.mayReachStore
+            || store.head().version == 0)
             return;
         ++storeReads;
         deliver(id, [this, id, head = store.head()] {
@@ -380,9 +382,9 @@
         });
     }
 
-    auto carryOut(const NodeId &id, const Publish &news) -> void
+    auto carryOut(const NodeId &id, const Publish &publish) -> void
     {
-        nodes[id].sources.push_back(news.source);
+        nodes[id].sources.push_back(publish.source);
         nodes[id].versions.push_back(nodes[id].state->current().version());
         nodes[id].lastAdoption = now;
     }
--- a/tests/distribution/FakeConnections.h
+++ b/tests/distribution/FakeConnections.h
@@ -9,21 +9,21 @@
 
 namespace stairspur::distribution {
 
-/// The connections of one node that have fallen silent: they are open and carry nothing. Its clients of the store and of
-/// peers notice as the real ones do.
+/// The silent connections of one node, which are open but carry no data. The fake clients of the store and of peers detect
+/// them as the real ones do.
 struct FakeConnections
 {
-    /// Until a request goes out again on another link: a ping interval of the platform's nodes.
+    /// Time until a request is sent again on another link, a ping interval of the platform's nodes.
     static constexpr auto LinkReplacedAfter = std::chrono::milliseconds(250);
 
-    /// How much longer a read of the store takes: until its second copy goes out on a fresh connection.
+    /// Returns the additional time of a read of the store until its second copy is sent on a new connection.
     [[nodiscard]] auto timeToRead() const -> Duration
     {
         return isStoreSilent ? store::HedgeDelay().value() : Duration{0};
     }
 
-    bool isStoreSilent = false;   ///< Its kept connections.
-    std::set<NodeId> silentLinks; ///< Peers.
+    bool isStoreSilent = false;   ///< Whether the open connections to the store are silent.
+    std::set<NodeId> silentLinks; ///< Peers whose links are silent.
 };
 
 } // namespace stairspur::distribution
--- a/tests/distribution/FakeNode.h
+++ b/tests/distribution/FakeNode.h
@@ -17,12 +17,12 @@
 struct FakeWatch
 {
     bool isOpen = false;
-    bool isDeaf = false;          ///< Its connection has fallen silent for good.
-    bool isHistoryGone = false;   ///< The next one is refused; the one after it is not.
-    std::uint64_t generation = 0; ///< What belongs to an earlier one is void.
+    bool isSilent = false;        ///< Whether its connection is silent until it ends.
+    bool isHistoryGone = false;   ///< Whether the next watch is refused; the one after it is not.
+    std::uint64_t generation = 0; ///< Number of the watch; events of earlier ones are ignored.
 };
 
-/// A node of the cluster: the distribution's state, and what a test knows of it.
+/// A node of the cluster: the distribution's state, and what a test records about it.
 template <typename Policy>
 struct FakeNode
 {
@@ -31,16 +31,16 @@
     bool isAlive = true;
     bool isPaused = false;
     bool mayReachStore = true;
-    Duration clockOffset{0}; ///< Of its own clock against the cluster's.
+    Duration clockOffset{0}; ///< Offset of its own clock to the cluster's.
     FakeWatch watch;
     FakeConnections connections;
-    std::vector<std::function<void()>> waiting; ///< Events that came while it was paused.
-    std::vector<std::uint64_t> versions;        ///< All that it took into force since its start.
-    std::vector<ConfigurationSource> sources;            ///< How it came by each of them.
+    std::vector<std::function<void()>> pendingEvents; ///< Events that arrived while it was paused.
+    std::vector<std::uint64_t> versions;      ///< Versions that came into force since its start.
+    std::vector<ConfigurationSource> sources; ///< How it received each of them.
     std::vector<Alarm> alarms;
     TimePoint lastAdoption{};
 
-    /// The store's answer to a read that was sent at `sentAt`. Version 0: it has no head.
+    /// Passes the store's answer to a read sent at `sentAt` to the state. Version 0 means that the store has no head.
     auto didReadHead(const Head &head, bool isOk, TimePoint sentAt, TimePoint now) -> void
     {
         if (!isOk)
--- a/tests/distribution/FakeStore.h
+++ b/tests/distribution/FakeStore.h
@@ -11,13 +11,13 @@
 
 namespace stairspur::distribution {
 
-/// What happens to one call to the store.
+/// Fault of one call to the store.
 enum class StoreFault {
     None,
-    Unreachable, ///< Certainly not applied.
-    LostRequest, ///< Not applied, and the caller cannot know.
-    LostAnswer,  ///< Applied, and the caller cannot know.
-    LateRequest, ///< Applied only at the store's next call, and the caller cannot know.
+    Unreachable, ///< The call is not applied, and the caller gets that result.
+    LostRequest, ///< The call is not applied, and the caller gets no result.
+    LostAnswer,  ///< The call is applied, and the caller gets no result.
+    LateRequest, ///< The call is applied only at the store's next call, and the caller gets no result.
 };
 
 /// A store in memory with the revisions that compare-and-swap needs.
@@ -55,10 +55,12 @@
         if (fault == StoreFault::LateRequest)
             m_late = transaction;
         const auto isApplied = fault == StoreFault::None || fault == StoreFault::LostAnswer;
-        const auto didHold = isApplied && apply(transaction);
+        const auto isCommitted = isApplied && apply(transaction);
         if (fault != StoreFault::None)
             return {store::StoreStatus::Unknown, {}, "fault"};
-        return {didHold ? store::StoreStatus::Ok : store::StoreStatus::CasFailed, {m_revision}, {}};
+        return {isCommitted ? store::StoreStatus::Ok : store::StoreStatus::CasFailed,
+                {m_revision},
+                {}};
     }
 
     auto applyLate() -> void
@@ -79,7 +81,7 @@
         return it == pairs.end() ? std::nullopt : std::optional(it->second.value);
     }
 
-    /// All values by their hash.
+    /// Returns all values by their hash.
     [[nodiscard]] auto blobs() const -> std::map<std::string, std::string>
     {
         auto all = std::map<std::string, std::string>();
@@ -90,7 +92,7 @@
         return all;
     }
 
-    /// All sections that `head` names, or nothing when one of them is not there.
+    /// Returns all sections that `head` names, or nothing if one of them is missing.
     [[nodiscard]] auto sectionsOf(const Head &head) const -> std::optional<config::Sections>
     {
         auto sections = config::Sections();
@@ -113,7 +115,7 @@
         return sections;
     }
 
-    /// Whether what is in force is there to the last section.
+    /// Returns whether all sections of the configuration in force are in the store and match its hash.
     [[nodiscard]] auto isWhole() const -> bool
     {
         const auto now = head();
--- a/tests/distribution/FreshnessFleet.h
+++ b/tests/distribution/FreshnessFleet.h
@@ -8,13 +8,13 @@
 
 namespace stairspur::distribution {
 
-/// A cluster whose nodes prove how lately their configuration was the newest, each by a clock of its own, and a witness that
-/// knows when each version was acknowledged.
+/// A cluster whose nodes prove, each by its own clock, when their configuration was last the newest. The fleet records when
+/// each version was acknowledged and checks the proofs against it.
 template <typename Policy = DistributionPolicy>
 class FreshnessFleet
 {
 public:
-    /// Within it a version that takes a key away must bind every host that still serves keys.
+    /// Time within which a version that revokes a key must apply on every host that still serves keys.
     static constexpr auto RevocationBound = Duration{5'000'000};
 
     FreshnessFleet(int domains, int perDomain, std::uint64_t seed)
@@ -34,29 +34,29 @@
         cluster.run(std::chrono::seconds(8));
     }
 
-    /// An operator's change, acknowledged now.
+    /// Applies an operator's change and records the time of its acknowledgement.
     auto apply() -> void
     {
         applyNext(cluster, ++m_mark);
         m_acknowledged.push_back(cluster.now);
     }
 
-    /// Lets time pass and looks at every node all the while.
+    /// Advances the time and inspects every node at short intervals.
     auto run(Duration time) -> void
     {
-        static constexpr auto LookInterval = Duration{50'000};
+        static constexpr auto InspectionInterval = Duration{50'000};
         const auto end = cluster.now + time;
         while (cluster.now < end) {
-            cluster.run(std::min(LookInterval,
+            cluster.run(std::min(InspectionInterval,
                                  std::chrono::duration_cast<Duration>(end - cluster.now)));
             for (const auto &[id, node] : cluster.nodes) {
                 if (node.isAlive && !node.isPaused)
-                    look(id);
+                    inspect(id);
             }
         }
     }
 
-    /// How old a node's proof is; nothing: it has none.
+    /// Returns the age of a node's proof, or nothing if it has none.
     [[nodiscard]] auto ageOf(const NodeId &id) const -> std::optional<Duration>
     {
         const auto provenAt = cluster.nodes.at(id).state->provenAt();
@@ -71,7 +71,7 @@
         return age && *age < RevocationBound;
     }
 
-    /// The relays of a domain, as its nodes see them now.
+    /// Returns the relays of a domain by the current views of its nodes.
     [[nodiscard]] auto relaysIn(const std::string &domain) const -> std::vector<NodeId>
     {
         auto relays = std::vector<NodeId>();
@@ -83,15 +83,15 @@
     }
 
     FakeCluster<Policy> cluster;
-    Duration oldest{0};    ///< The oldest proof of any node that was looked at since it was reset.
-    Violations violations; ///< A node served keys by a version that was too old.
-    std::uint64_t refused = 0; ///< Looks at nodes that could not serve keys.
-    std::uint64_t looks = 0;
+    Duration oldest{0};    ///< Age of the oldest proof of any inspected node since the last reset.
+    Violations violations; ///< Cases in which a node served keys with a version that was too old.
+    std::uint64_t refused = 0; ///< Inspections of nodes that could not serve keys.
+    std::uint64_t inspections = 0;
 
 private:
-    auto look(const NodeId &id) -> void
+    auto inspect(const NodeId &id) -> void
     {
-        ++looks;
+        ++inspections;
         const auto age = ageOf(id);
         oldest = std::max(oldest, age.value_or(Duration::max()));
         if (!servesKeys(id)) {
@@ -99,10 +99,10 @@
             return;
         }
         const auto version = cluster.nodes.at(id).state->current().version();
-        // Versions count from 1 in the order in which they were applied.
+        // Versions are numbered from 1 in the order in which they were applied.
         for (auto later = version; later < m_acknowledged.size(); ++later) {
             if (m_acknowledged[later] + RevocationBound <= cluster.now)
-                violations.push_back(id + " serves keys by version " + std::to_string(version)
+                violations.push_back(id + " serves keys with version " + std::to_string(version)
                                      + ", and version " + std::to_string(later + 1)
                                      + " was acknowledged too long ago");
         }
--- a/tests/distribution/TestDistributionBound.cpp
+++ b/tests/distribution/TestDistributionBound.cpp
@@ -3,35 +3,36 @@
 // After Boost, whose headers its macros break.
 #include <criterion/criterion.h>
 
-/// How late a version may be in force, under the faults of the platform's store, of relays and of links.
+/// Tests of the time limit for bringing a version into force, under faults of the platform's store, of relays and of links.
 using namespace stairspur;
 using namespace stairspur::distribution;
 
-/// From an acknowledged write to every host that can be reached: what the platform's smallest deployments promise.
+/// Time limit from an acknowledged write until every reachable host has the version in force, on the platform's smallest
+/// deployments.
 static constexpr auto SmallFleetBound = Duration{2s};
-/// The same for 14,000 hosts in 13 failure domains.
+/// The same limit for 14,000 hosts in 13 failure domains.
 static constexpr auto LargeFleetBound = Duration{5s};
 
 static constexpr auto BoundSeeds = {1U, 2U, 3U, 4U, 5U, 6U, 7U, 8U, 9U, 10U};
 
 using Cluster = FakeCluster<DistributionPolicy>;
 
-/// Nodes that have been up for a while, with one version in force.
+/// Runs the nodes for a while with one version in force.
 static auto settle(Cluster &cluster, const std::string &name, Violations &found) -> void
 {
     startUp(cluster, name, found);
     cluster.run(7s);
 }
 
-/// Plays one scenario for each seed, on nodes that have settled.
-template <typename Play>
-static auto overSeeds(const std::string &name, int domains, int perDomain, Play play) -> Violations
+/// Runs one scenario for each seed on nodes that have settled.
+template <typename Run>
+static auto overSeeds(const std::string &name, int domains, int perDomain, Run run) -> Violations
 {
     auto found = Violations();
     for (const auto seed : BoundSeeds) {
         auto cluster = Cluster(domains, perDomain, seed);
         settle(cluster, name, found);
-        play(cluster, found);
+        run(cluster, found);
     }
     return found;
 }
@@ -46,7 +47,7 @@
     return relays;
 }
 
-/// The store says nothing for a second while a version is written, then cuts all watches and has no history for them.
+/// The watches are silent for a second while a version is written. Then the store cuts them and has lost their history.
 static auto loseHistory(Cluster &cluster, int mark, Violations &found) -> void
 {
     cluster.isWatchSilent = true;
@@ -77,20 +78,20 @@
               found.empty() ? "" : found[0].c_str());
 }
 
-/// All watches fall silent for good without being cut, and stay so while versions are written.
-static auto runDeafWatches() -> Violations
+/// All watches become silent without being cut, and stay silent while versions are written.
+static auto runSilentWatches() -> Violations
 {
-    return overSeeds("deaf watches", 3, 5, [](Cluster &cluster, Violations &found) {
+    return overSeeds("silent watches", 3, 5, [](Cluster &cluster, Violations &found) {
         cluster.silenceWatches();
         for (auto mark = 1; mark <= 6; ++mark) {
             cluster.run(mark * 300ms);
             applyNext(cluster, mark);
-            check(cluster, SmallFleetBound, "deaf watches", found);
+            check(cluster, SmallFleetBound, "silent watches", found);
         }
     });
 }
 
-/// The store has been away for 40 s, and a version is written a second after its return.
+/// The store is unreachable for 40 s, and a version is written a second after it is reachable again.
 static auto runStoreReturned() -> Violations
 {
     return overSeeds("store returned", 3, 5, [](Cluster &cluster, Violations &found) {
@@ -104,7 +105,7 @@
     });
 }
 
-/// All relays of the only domain are gone, others have just taken their place.
+/// All relays of the only domain have crashed, and other nodes have just become relays.
 static auto runNewRelays() -> Violations
 {
     return overSeeds("new relays", 1, 8, [](Cluster &cluster, Violations &found) {
@@ -117,7 +118,7 @@
     });
 }
 
-/// All relays of a domain have stopped, and nobody has noticed yet.
+/// All relays of a domain have stopped, and membership has not detected it yet.
 static auto runRelaysStopped() -> Violations
 {
     return overSeeds("relays stopped", 3, 5, [](Cluster &cluster, Violations &found) {
@@ -128,7 +129,7 @@
     });
 }
 
-/// The relays of a domain can't reach the store.
+/// The relays of a domain cannot reach the store.
 static auto runRelaysWithoutStore() -> Violations
 {
     return overSeeds("relays without store", 3, 5, [](Cluster &cluster, Violations &found) {
@@ -142,10 +143,11 @@
     });
 }
 
-/// A host hears others but is not heard: it asks in vain for half a minute. A version is written a second after that.
+/// A host receives messages but its own are lost, so that its requests fail for half a minute. A version is written a second
+/// after that.
 static auto runHealedCut() -> Violations
 {
-    return overSeeds("healed cut", 3, 5, [](Cluster &cluster, Violations &found) {
+    return overSeeds("ended cut", 3, 5, [](Cluster &cluster, Violations &found) {
         const auto id = cluster.nodes.begin()->first;
         cluster.nodes[id].mayReachStore = false;
         cluster.isCut = [id](const auto &from, const auto &) { return from == id; };
@@ -154,11 +156,11 @@
         cluster.isCut = [](const auto &, const auto &) { return false; };
         cluster.run(1s);
         applyNext(cluster, 2);
-        check(cluster, SmallFleetBound, "healed cut", found);
+        check(cluster, SmallFleetBound, "ended cut", found);
     });
 }
 
-/// Of 13 domains one alone has the store.
+/// Only one of 13 domains reaches the store.
 static auto runOneDomainHasStore() -> Violations
 {
     return overSeeds("one domain has the store", 13, 6, [](Cluster &cluster, Violations &found) {
@@ -171,23 +173,25 @@
     });
 }
 
-/// Whose connections were disturbed is held to the bound again after this time (`stable_s` of the smallest deployments).
-static constexpr auto CalmAfter = Duration{3s};
+/// Time after a disturbance of its connections from which the limit applies to a host again (`stable_s` of the smallest
+/// deployments).
+static constexpr auto StableAfter = Duration{3s};
 
-/// Sections of `bytes` each: one of them fits into a datagram, or none does.
+/// All connections become silent before a version is written. Depending on `bytes`, the size of a section, one section fits
+/// into a datagram or none does.
 static auto runSilentConnections(std::size_t bytes) -> Violations
 {
     return overSeeds("silent connections", 3, 5, [bytes](Cluster &cluster, Violations &found) {
         for (auto round = 0; round < 10; ++round) {
             cluster.run(11s);
             cluster.silenceConnections();
-            const auto calm = cluster.now + CalmAfter;
+            const auto stableAt = cluster.now + StableAfter;
             cluster.run(round * 300ms);
             auto sections = sectionsOf(0);
             for (auto &[name, text] : sections)
                 text = std::string(bytes, static_cast<char>('a' + round));
             cluster.apply(sections, "apply-" + std::to_string(round));
-            const auto bound = std::max(cluster.now + SmallFleetBound, calm);
+            const auto bound = std::max(cluster.now + SmallFleetBound, stableAt);
             check(cluster, bound - cluster.now, "silent connections", found);
         }
     });
@@ -209,12 +213,12 @@
 };
 
 static constexpr BoundScenario BoundScenarios[] = {
-        {"deaf watches", runDeafWatches},
+        {"silent watches", runSilentWatches},
         {"store returned", runStoreReturned},
         {"new relays", runNewRelays},
         {"relays stopped", runRelaysStopped},
         {"relays without store", runRelaysWithoutStore},
-        {"healed cut", runHealedCut},
+        {"ended cut", runHealedCut},
         {"one domain has the store", runOneDomainHasStore},
 };
 
--- a/tests/distribution/TestDistributionMatrix.cpp
+++ b/tests/distribution/TestDistributionMatrix.cpp
@@ -3,7 +3,7 @@
 // After Boost, whose headers its macros break.
 #include <criterion/criterion.h>
 
-/// Every scenario with the real guards; and each guard that is taken away, in the scenario that must notice.
+/// Tests every scenario with the real guards, and each disabled guard in the scenario that must detect its absence.
 using namespace stairspur;
 using namespace stairspur::distribution;
 
@@ -16,9 +16,9 @@
 static constexpr Scenario Scenarios[] = {
         {"damaged network", runDamagedNetwork<DistributionPolicy>},
         {"heavy loss", runHeavyLoss<DistributionPolicy>},
-        {"missed news", runMissedNews<DistributionPolicy>},
+        {"lost datagrams", runLostDatagrams<DistributionPolicy>},
         {"cut peer", runCutPeer<DistributionPolicy>},
-        {"deaf source", runDeafSource<DistributionPolicy>},
+        {"unresponsive source", runUnresponsiveSource<DistributionPolicy>},
         {"silent watch", runSilentWatch<DistributionPolicy>},
         {"relays", runRelays<DistributionPolicy>},
         {"cut domain", runCutDomain<DistributionPolicy>},
@@ -40,17 +40,17 @@
     }
 }
 
-struct GoesBack : DistributionPolicy
+struct AcceptsOlder : DistributionPolicy
 {
     static constexpr auto IsForwardOnly = false;
 };
 
-struct Trusts : DistributionPolicy
+struct SkipsHashCheck : DistributionPolicy
 {
     static constexpr auto VerifiesHash = false;
 };
 
-struct TakesSecond : DistributionPolicy
+struct AcceptsSecondHash : DistributionPolicy
 {
     static constexpr auto KeepsFirstOfEqualVersions = false;
 };
@@ -60,12 +60,12 @@
     static constexpr auto RetriesOtherPeers = false;
 };
 
-struct TrustsWatch : DistributionPolicy
+struct NeverPolls : DistributionPolicy
 {
     static constexpr auto PollsHead = false;
 };
 
-struct WaitsWhenFresh : DistributionPolicy
+struct WaitsForStoreAtStart : DistributionPolicy
 {
     static constexpr auto QueriesPeersAtStart = false;
 };
@@ -80,7 +80,7 @@
     static constexpr auto LoadsWholeOnMismatch = false;
 };
 
-struct DeafToDigests : DistributionPolicy
+struct IgnoresDigests : DistributionPolicy
 {
     static constexpr auto HandlesDigests = false;
 };
@@ -88,22 +88,22 @@
 Test(DistributionMatrix, eachGuardIsNeeded)
 {
     const Scenario mutants[] = {
-            {"goes back", runStoreBehind<GoesBack>},
-            {"trusts sections", runDamagedSections<Trusts>},
-            {"takes the second hash", runTwoHashes<TakesSecond>},
-            {"asks one peer only", runDeafSource<OnePeerOnly>},
-            {"trusts its watch", runSilentWatch<TrustsWatch>},
-            {"waits when fresh", runRestart<WaitsWhenFresh>},
+            {"accepts older versions", runStoreBehind<AcceptsOlder>},
+            {"skips the hash check", runDamagedSections<SkipsHashCheck>},
+            {"accepts the second hash", runTwoHashes<AcceptsSecondHash>},
+            {"queries only one peer", runUnresponsiveSource<OnePeerOnly>},
+            {"never polls the head", runSilentWatch<NeverPolls>},
+            {"waits for the store at start", runRestart<WaitsForStoreAtStart>},
             {"own domain only", runCutDomain<OwnDomainOnly>},
             {"changes only", runFork<ChangesOnly>},
-            {"deaf to digests", runMissedNews<DeafToDigests>},
+            {"ignores digests", runLostDatagrams<IgnoresDigests>},
     };
     for (const auto &it : mutants)
-        cr_expect(!it.run().empty(), "nothing saw the guard missing: %s", it.name);
+        cr_expect(!it.run().empty(), "the missing guard was not detected: %s", it.name);
 }
 
-/// Whoever looks for the cause of a late version has to see which way it took.
-Test(DistributionState, tellsByWhichWayAVersionCame)
+/// The source of each version is reported so that the cause of a late version can be found.
+Test(DistributionState, reportsTheSourceOfEachVersion)
 {
     auto found = Violations();
     auto cluster = FakeCluster<DistributionPolicy>(1, 6, 1);
--- a/tests/distribution/TestDistributionService.cpp
+++ b/tests/distribution/TestDistributionService.cpp
@@ -15,7 +15,7 @@
 // After Boost, whose headers its macros break.
 #include <criterion/criterion.h>
 
-/// The whole way on loopback, on one io_context: apply, store, relay, peers.
+/// Tests the whole path (apply, store, relay, peers) on loopback with one io_context.
 using namespace stairspur;
 using namespace stairspur::distribution;
 
@@ -74,7 +74,7 @@
     std::unique_ptr<DistributionService> service;
 };
 
-struct Bench
+struct TestCluster
 {
     boost::asio::io_context io{1};
     std::shared_ptr<standin::StoreServer> server =
@@ -82,7 +82,7 @@
     std::vector<std::unique_ptr<ServiceNode>> nodes;
     std::unique_ptr<store::EtcdStore> store;
 
-    Bench()
+    TestCluster()
     {
         server->start();
         store = ServiceNode::openStore(io, server->port());
@@ -117,7 +117,7 @@
         return *result;
     }
 
-    /// Ends the test when the store was not reached or refuses: a later wait for the version would have no end.
+    /// Fails the test when the store was not reached or refuses, since a later wait for the version would not end.
     auto applyOrFail(const config::Configuration &configuration, const std::string &id)
             -> PublishResult
     {
@@ -129,7 +129,7 @@
         return result;
     }
 
-    /// As membership's probes do: rumors alone may miss a node.
+    /// Exchanges digests between all nodes as membership's probes do, since the datagrams of an adoption may miss a node.
     auto exchangeDigests() -> void
     {
         for (const auto &from : nodes) {
@@ -153,16 +153,16 @@
 
 Test(DistributionService, anAppliedFileComesIntoForceOnEveryNode, .timeout = 60)
 {
-    auto bench = Bench();
+    auto cluster = TestCluster();
     for (const auto hasStore : {true, false, false, true})
-        bench.addNode(hasStore);
-    bench.applyOrFail(configurationWith(80, 100), "first");
-    bench.waitForVersion(1);
+        cluster.addNode(hasStore);
+    cluster.applyOrFail(configurationWith(80, 100), "first");
+    cluster.waitForVersion(1);
     auto second = configurationWith(80, 100);
     second.services[7].limits.maxQueue = 7;
-    const auto applied = bench.applyOrFail(second, "second");
-    bench.waitForVersion(2);
-    for (const auto &it : bench.nodes) {
+    const auto applied = cluster.applyOrFail(second, "second");
+    cluster.waitForVersion(2);
+    for (const auto &it : cluster.nodes) {
         const auto *service = it->inForce->configuration.findService("service-7");
         cr_assert(service != nullptr);
         cr_assert_eq(service->limits.maxQueue, 7);
@@ -172,22 +172,22 @@
 
 Test(DistributionService, aFreshNodeLearnsFromPeersWhileTheStoreIsDown, .timeout = 60)
 {
-    auto bench = Bench();
-    bench.addNode(true);
-    // More than one piece of a reply and far more than one datagram.
-    bench.applyOrFail(configurationWith(1500, 100), "first");
-    bench.waitForVersion(1);
-    bench.server->setFault({standin::FaultMode::Down, 0, 0, ""});
-    bench.addNode(true);
-    bench.waitForVersion(1);
-    cr_assert_eq(bench.nodes[1]->inForce->configuration.services.size(), 1500);
-    cr_assert(bench.nodes[1]->service->counters().requestsSent > 1);
+    auto cluster = TestCluster();
+    cluster.addNode(true);
+    // This is more than one piece of a reply and far more than one datagram.
+    cluster.applyOrFail(configurationWith(1500, 100), "first");
+    cluster.waitForVersion(1);
+    cluster.server->setFault({standin::FaultMode::Down, 0, 0, ""});
+    cluster.addNode(true);
+    cluster.waitForVersion(1);
+    cr_assert_eq(cluster.nodes[1]->inForce->configuration.services.size(), 1500);
+    cr_assert(cluster.nodes[1]->service->counters().requestsSent > 1);
 }
 
-Test(DistributionService, aLostAnswerOfTheRealProtocolIsSettled, .timeout = 60)
+Test(DistributionService, aLostAnswerOfTheRealProtocolIsResolved, .timeout = 60)
 {
-    auto bench = Bench();
-    bench.server->setFault({standin::FaultMode::LostAnswer, 0, 1, "txn"});
-    const auto result = bench.applyOrFail(configurationWith(3, 100), "first");
+    auto cluster = TestCluster();
+    cluster.server->setFault({standin::FaultMode::LostAnswer, 0, 1, "txn"});
+    const auto result = cluster.applyOrFail(configurationWith(3, 100), "first");
     cr_assert_eq(result.version, 1);
 }
--- a/tests/distribution/TestFreshness.cpp
+++ b/tests/distribution/TestFreshness.cpp
@@ -3,8 +3,8 @@
 // After Boost, whose headers its macros break.
 #include <criterion/criterion.h>
 
-/// Whoever serves callers by their keys must know of each key that was taken away within five seconds, in touch or not; and
-/// whoever can reach the store, or somebody who can, must go on serving.
+/// A host that serves callers by their keys must apply each revocation of a key within five seconds, whether it is connected
+/// or not. A host that reaches the store, directly or through another host, must keep serving.
 using namespace stairspur;
 using namespace stairspur::distribution;
 
@@ -13,20 +13,20 @@
 template <typename Policy>
 using Scenario = void (*)(FreshnessFleet<Policy> &);
 
-/// Plays a scenario for each seed; the first violation, or nothing.
+/// Runs a scenario for each seed and returns the first violation, or an empty string.
 template <typename Policy>
-static auto violationOf(void (*play)(FreshnessFleet<Policy> &)) -> std::string
+static auto violationOf(void (*run)(FreshnessFleet<Policy> &)) -> std::string
 {
     for (const auto seed : FreshnessSeeds) {
         auto fleet = FreshnessFleet<Policy>(3, 8, seed);
-        play(fleet);
+        run(fleet);
         if (!fleet.violations.empty())
             return "seed " + std::to_string(seed) + ": " + fleet.violations.front();
     }
     return {};
 }
 
-/// Nobody hears of the revocation but by proofs: rumors and digests are cut, as for a host behind a cut.
+/// One host is cut off from all nodes and the store when a key is revoked, so it must stop serving when its proof is too old.
 template <typename Policy>
 static auto revokeBehindACut(FreshnessFleet<Policy> &fleet) -> void
 {
@@ -40,7 +40,7 @@
 }
 
 template <typename Policy>
-static auto revokeWhileTheStoreTurnsHostsAway(FreshnessFleet<Policy> &fleet) -> void
+static auto revokeWhileTheStoreRefusesHosts(FreshnessFleet<Policy> &fleet) -> void
 {
     auto n = 0;
     for (auto &[id, node] : fleet.cluster.nodes)
@@ -54,7 +54,7 @@
 template <typename Policy>
 static auto revokeWhileAHostIsFrozen(FreshnessFleet<Policy> &fleet) -> void
 {
-    // It wakes with what came meanwhile still in its queues: old confirmations among it.
+    // A resumed host first processes the queued messages, among them old confirmations.
     for (const auto *id : {"d0/1", "d0/2", "d1/5"})
         fleet.cluster.pause(id);
     fleet.run(1s);
@@ -72,13 +72,14 @@
 }
 
 template <typename Policy>
-static auto revokeWhileARelayIsFrozenAndTellsOthersAfterwards(FreshnessFleet<Policy> &fleet) -> void
+static auto revokeWhileARelayIsFrozenAndConfirmsAfterwards(FreshnessFleet<Policy> &fleet) -> void
 {
     const auto relays = fleet.relaysIn("d0");
     fleet.cluster.pause(relays.front());
     fleet.run(500ms);
     fleet.apply();
-    // All others of its domain lose the store and the other domains: the frozen relay is whom they will hear.
+    // The other nodes of its domain lose the store and the other domains, so that they receive proofs only from the frozen
+    // relay.
     fleet.cluster.isCut = [](const auto &from, const auto &to) {
         return from.substr(0, 2) != to.substr(0, 2);
     };
@@ -90,7 +91,7 @@
 }
 
 template <typename Policy>
-static auto revokeAndGiveAgain(FreshnessFleet<Policy> &fleet) -> void
+static auto revokeAndGrantAgain(FreshnessFleet<Policy> &fleet) -> void
 {
     for (auto n = 0; n < 6; ++n) {
         fleet.apply();
@@ -103,9 +104,9 @@
     fleet.run(8s);
 }
 
-/// Confirmations lie in a queue for seconds, then arrive all at once.
+/// Confirmations arrive several seconds after they were sent.
 template <typename Policy>
-static auto revokeWhileDatagramsAreHeldUp(FreshnessFleet<Policy> &fleet) -> void
+static auto revokeWhileDatagramsAreDelayed(FreshnessFleet<Policy> &fleet) -> void
 {
     fleet.cluster.minLatency = 3s;
     fleet.cluster.maxLatency = 3500ms;
@@ -121,17 +122,17 @@
     struct
     {
         const char *name;
-        Scenario<DistributionPolicy> play;
+        Scenario<DistributionPolicy> run;
     } const cases[] = {
             {"behind a cut", revokeBehindACut},
-            {"turned away by the store", revokeWhileTheStoreTurnsHostsAway},
+            {"refused by the store", revokeWhileTheStoreRefusesHosts},
             {"a frozen host", revokeWhileAHostIsFrozen},
-            {"a frozen relay", revokeWhileARelayIsFrozenAndTellsOthersAfterwards},
-            {"given again", revokeAndGiveAgain},
-            {"datagrams held up", revokeWhileDatagramsAreHeldUp},
+            {"a frozen relay", revokeWhileARelayIsFrozenAndConfirmsAfterwards},
+            {"granted again", revokeAndGrantAgain},
+            {"datagrams delayed", revokeWhileDatagramsAreDelayed},
     };
     for (const auto &it : cases) {
-        const auto violation = violationOf<DistributionPolicy>(it.play);
+        const auto violation = violationOf<DistributionPolicy>(it.run);
         cr_expect(violation.empty(), "%s: %s", it.name, violation.c_str());
     }
 }
@@ -141,14 +142,14 @@
     static constexpr auto CountsFromRequestTime = false;
 };
 
-struct TakesProofsOfOtherVersions : DistributionPolicy
+struct AcceptsProofsOfOtherVersions : DistributionPolicy
 {
     static constexpr auto WaitsForVersion = false;
 };
 
-/// One node without any configuration that hears version 5 confirmed; whether it takes that for a proof of what it has.
+/// Returns whether a node without a configuration accepts a confirmation of version 5 as a proof of its own configuration.
 template <typename Policy>
-static auto takesProofOfAnUnknownVersion() -> bool
+static auto acceptsProofOfAnotherVersion() -> bool
 {
     auto context = DistributionContext();
     context.self = "self";
@@ -164,15 +165,15 @@
     return freshness.provenAt().has_value();
 }
 
-Test(Freshness, eachGuardIsNoticedWhenItIsMissing)
+Test(Freshness, eachMissingGuardIsDetected)
 {
-    cr_expect(!violationOf<CountsFromArrival>(revokeWhileDatagramsAreHeldUp).empty(),
-              "a proof that counts from its arrival passes for newer than it is");
-    cr_expect(takesProofOfAnUnknownVersion<TakesProofsOfOtherVersions>());
-    cr_expect(!takesProofOfAnUnknownVersion<DistributionPolicy>());
+    cr_expect(!violationOf<CountsFromArrival>(revokeWhileDatagramsAreDelayed).empty(),
+              "a proof that counts from its arrival was not detected as too new");
+    cr_expect(acceptsProofOfAnotherVersion<AcceptsProofsOfOtherVersions>());
+    cr_expect(!acceptsProofOfAnotherVersion<DistributionPolicy>());
 }
 
-/// How often hosts refuse keys while they, or others through whom they could know, reach the store.
+/// Returns the share of inspections in which hosts refuse keys while they reach the store directly or through others.
 template <typename Policy>
 static auto refusedShare(int perDomain, std::uint64_t seed,
                          const std::function<void(FreshnessFleet<Policy> &)> &disturb) -> double
@@ -181,12 +182,12 @@
     fleet.run(1s);
     disturb(fleet);
     fleet.refused = 0;
-    fleet.looks = 0;
+    fleet.inspections = 0;
     fleet.run(20s);
-    return static_cast<double>(fleet.refused) / static_cast<double>(fleet.looks);
+    return static_cast<double>(fleet.refused) / static_cast<double>(fleet.inspections);
 }
 
-/// One relay is frozen, two thirds of the hosts of each domain are turned away by the store, a tenth of all datagrams is lost.
+/// Pauses one relay, makes the store refuse two thirds of the hosts of each domain, and loses a tenth of all datagrams.
 static auto disturbSome(auto &fleet) -> void
 {
     fleet.cluster.lossShare = 0.1;
@@ -196,14 +197,14 @@
     fleet.cluster.pause(fleet.relaysIn("d1").front());
 }
 
-/// A whole domain's way to the store is gone, not its way to the other domains.
+/// Cuts a whole domain off from the store, but not from the other domains.
 static auto disturbADomain(auto &fleet) -> void
 {
     for (auto &[id, node] : fleet.cluster.nodes)
         node.mayReachStore = node.domain != "d2";
 }
 
-/// One host reaches the store and nobody else.
+/// Cuts one host off from all nodes, but not from the store.
 static auto isolateOne(auto &fleet) -> void
 {
     fleet.cluster.isCut = [](const auto &from, const auto &to) {
@@ -211,7 +212,7 @@
     };
 }
 
-Test(Freshness, whoeverCanReachTheStoreOrSomebodyWhoCanGoesOnServing)
+Test(Freshness, hostsThatReachTheStoreDirectlyOrThroughOthersKeepServing)
 {
     struct
     {
@@ -220,30 +221,30 @@
     } const cases[] = {
             {"some", [](auto &fleet) { disturbSome(fleet); }},
             {"a domain", [](auto &fleet) { disturbADomain(fleet); }},
-            {"one host alone", [](auto &fleet) { isolateOne(fleet); }},
+            {"one isolated host", [](auto &fleet) { isolateOne(fleet); }},
     };
     for (const auto &it : cases) {
         for (const auto seed : FreshnessSeeds) {
             const auto refused = refusedShare<DistributionPolicy>(8, seed, it.disturb);
-            cr_expect_eq(refused, 0.0, "%s, seed %u: %.4f of all looks refused", it.name, seed,
-                         refused);
+            cr_expect_eq(refused, 0.0, "%s, seed %u: %.4f of all inspections refused", it.name,
+                         seed, refused);
         }
     }
 }
 
-struct WaitsForItsParents : DistributionPolicy
+struct UsesOnlyItsParents : DistributionPolicy
 {
     static constexpr auto SearchesForProofs = false;
 };
 
-Test(Freshness, aDomainWithoutTheStoreWouldRefuseIfItDidNotAskElsewhere)
+Test(Freshness, aDomainWithoutTheStoreRefusesUnlessItSearchesOtherDomains)
 {
-    cr_assert_gt(refusedShare<WaitsForItsParents>(8, 1, [](auto &fleet) { disturbADomain(fleet); }),
+    cr_assert_gt(refusedShare<UsesOnlyItsParents>(8, 1, [](auto &fleet) { disturbADomain(fleet); }),
                  0.0);
 }
 
-/// In calm a proof is young enough that a host which loses everything still serves for three of the five seconds.
-Test(Freshness, inCalmNoProofIsOlderThanTwoSeconds)
+/// Without faults a proof is young enough for a host that loses all connections to keep serving for three of the five seconds.
+Test(Freshness, withoutFaultsNoProofIsOlderThanTwoSeconds)
 {
     for (const auto seed : FreshnessSeeds) {
         auto fleet = FreshnessFleet<DistributionPolicy>(3, 23, seed);
@@ -255,7 +256,7 @@
     }
 }
 
-Test(Freshness, afterTheStoresReturnAllServeWithinASecond)
+Test(Freshness, allHostsServeWithinASecondAfterTheStoreReturns)
 {
     for (const auto seed : FreshnessSeeds) {
         auto fleet = FreshnessFleet<DistributionPolicy>(3, 23, seed);
@@ -268,8 +269,8 @@
     }
 }
 
-/// Each read is for all: what proofs cost the store does not grow with the hosts.
-Test(Freshness, inCalmTheStoreIsReadOnceInASecondForEachDomain)
+/// Each read serves the whole domain, so that the store's load by proofs does not grow with the number of hosts.
+Test(Freshness, withoutFaultsTheStoreIsReadOnceASecondForEachDomain)
 {
     auto fleet = FreshnessFleet<DistributionPolicy>(3, 23, 1);
     fleet.run(5s);
@@ -279,11 +280,11 @@
                   static_cast<std::size_t>(fleet.cluster.storeReads - before));
 }
 
-/// While nobody gets an answer the members of a domain ask some fifty times a second together, however many they are, and its
-/// three relays each twice, with a watch of theirs beside it.
-Test(Freshness, aStoreThatIsAwayIsNotAskedByEverybody)
+/// While the store does not answer, all members of a domain together read about fifty times a second, independent of their
+/// number. In addition each of its three relays reads twice and opens a watch twice.
+Test(Freshness, anUnreachableStoreIsNotReadByEveryHost)
 {
-    static constexpr auto MostReadsPerSecond = std::uint64_t{50 + 3 * 2 * 2};
+    static constexpr auto MaxReadsPerSecond = std::uint64_t{50 + 3 * 2 * 2};
     auto fleet = FreshnessFleet<DistributionPolicy>(1, 400, 1);
     fleet.cluster.isStoreDown = true;
     fleet.run(2s);
@@ -291,7 +292,7 @@
         const auto before = fleet.cluster.storeReads;
         fleet.run(1s);
         const auto reads = fleet.cluster.storeReads - before;
-        cr_expect_leq(reads, MostReadsPerSecond, "second %d: %zu", second,
+        cr_expect_leq(reads, MaxReadsPerSecond, "second %d: %zu", second,
                       static_cast<std::size_t>(reads));
     }
 }
--- a/tests/distribution/TestPublishMatrix.cpp
+++ b/tests/distribution/TestPublishMatrix.cpp
@@ -12,8 +12,8 @@
 // After Boost, whose headers its macros break.
 #include <criterion/criterion.h>
 
-/// The apply protocol under every fault at every step, and under every order of racing steps. Each run returns what it
-/// found broken; the real guards must give nothing, and each guard that is taken away must give something.
+/// Tests the apply protocol under every fault at every step, and under every order of concurrent steps. Each run returns the
+/// violations that it found. There must be none with the real guards, and some with each guard disabled.
 using namespace stairspur;
 using namespace stairspur::distribution;
 
@@ -56,9 +56,9 @@
     return protocol.result();
 }
 
-/// Whether an outcome tells the truth about what the store holds once everything has arrived there.
-static auto isTrue(const PublishResult &result, const std::string &id, const std::string &hash,
-                   const FakeStore &store) -> bool
+/// Returns whether an outcome matches the store's content after all requests have arrived there.
+static auto matchesStore(const PublishResult &result, const std::string &id,
+                         const std::string &hash, const FakeStore &store) -> bool
 {
     const auto head = store.head();
     const auto isApplied = head.findApply(id) != nullptr;
@@ -81,7 +81,7 @@
 struct Start
 {
     const char *name;
-    int sectionsBefore; ///< 0: an empty store.
+    int sectionsBefore; ///< Number of sections in the store; 0 for an empty store.
     int sectionsAfter;
 };
 
@@ -101,22 +101,22 @@
                       + " at step " + std::to_string(from);
     auto count = 0;
     for (; !protocol.isDone(); ++count) {
-        const auto isStruck = count >= from && count < from + n;
-        step(protocol, store, isStruck ? fault : StoreFault::None);
+        const auto isFaulty = count >= from && count < from + n;
+        step(protocol, store, isFaulty ? fault : StoreFault::None);
         if (!store.isWhole())
             found.push_back(name + ": half applied");
     }
     store.applyLate();
-    if (!isTrue(protocol.result(), "own", config::hashOf(wanted), store))
-        found.push_back(name + ": untrue " + std::string(nameOf(protocol.result().outcome)));
+    if (!matchesStore(protocol.result(), "own", config::hashOf(wanted), store))
+        found.push_back(name + ": wrong outcome " + std::string(nameOf(protocol.result().outcome)));
     const auto again = publish<Policy>(store, requestFor(wanted, "again"));
     if (store.head().hash != config::hashOf(wanted) || !store.isWhole())
-        found.push_back(name + ": the same file again does not help, "
+        found.push_back(name + ": applying the same file again does not repair it, "
                         + std::string(nameOf(again.outcome)));
     return count > from;
 }
 
-/// Every fault at every step, for one call and for all that follow.
+/// Runs every fault at every step, for one call, for two, and for all that follow.
 template <typename Policy>
 static auto runFaults() -> Violations
 {
@@ -134,7 +134,7 @@
 
 /// Runs appliers in the given order of steps, one of them with a fault at one of its steps.
 template <typename Policy>
-static auto runRace(const std::vector<int> &order, int appliers, int struck, int struckStep,
+static auto runRace(const std::vector<int> &order, int appliers, int faulty, int faultyStep,
                     StoreFault fault, Violations &found) -> void
 {
     auto store = FakeStore();
@@ -148,9 +148,9 @@
         auto &protocol = protocols[index];
         if (protocol.isDone())
             return;
-        const auto isStruck = index == struck && steps[index] == struckStep;
+        const auto isFaulty = index == faulty && steps[index] == faultyStep;
         steps[index] += 1;
-        step(protocol, store, isStruck ? fault : StoreFault::None);
+        step(protocol, store, isFaulty ? fault : StoreFault::None);
         if (!store.isWhole())
             found.emplace_back("race: half applied");
     };
@@ -165,8 +165,8 @@
     for (auto index = 0; index < appliers; ++index) {
         const auto &result = protocols[index].result();
         const auto hash = config::hashOf(sectionsOf(3, "mark " + std::to_string(index)));
-        if (!isTrue(result, std::to_string(index), hash, store))
-            found.push_back("race: untrue " + std::string(nameOf(result.outcome)));
+        if (!matchesStore(result, std::to_string(index), hash, store))
+            found.push_back("race: wrong outcome " + std::string(nameOf(result.outcome)));
         if (result.outcome == PublishOutcome::Applied && !versions.insert(result.version).second)
             found.emplace_back("race: two winners");
     }
@@ -176,7 +176,7 @@
         found.emplace_back("race: a version was lost");
 }
 
-/// Every order of `perApplier` steps of each applier.
+/// Returns every order of `perApplier` steps of each applier.
 static auto everyOrder(int appliers, int perApplier) -> std::vector<std::vector<int>>
 {
     auto order = std::vector<int>();
@@ -192,7 +192,7 @@
 template <typename Policy>
 static auto runRaces() -> Violations
 {
-    static constexpr auto StepsOfAChange = 4; // Head, root, bucket, write.
+    static constexpr auto StepsOfAChange = 4; // Reads of head, root and bucket, and the write.
     auto found = Violations();
     for (const auto &order : everyOrder(2, StepsOfAChange)) {
         runRace<Policy>(order, 2, -1, 0, StoreFault::None, found);
@@ -203,16 +203,16 @@
     auto orders = everyOrder(3, 3);
     std::ranges::shuffle(orders, random);
     for (auto &order : orders) {
-        // Each applier's first step is its read of the head; what it decides on comes within the next three.
+        // Each applier's first step reads the head; its decision follows within the next three steps.
         order.insert(order.end(), {0, 1, 2});
         runRace<Policy>(order, 3, -1, 0, StoreFault::None, found);
     }
     return found;
 }
 
-/// A lost answer, and then so many applies of others that the head no longer tells of it.
+/// Loses an answer and then runs so many applies of others that the head no longer records the apply.
 template <typename Policy>
-static auto runForgotten() -> Violations
+static auto runEvictedApplies() -> Violations
 {
     auto found = Violations();
     for (const auto others : {1, 15, 16, 17, 40}) {
@@ -228,17 +228,17 @@
             while (!protocol.isDone())
                 step(protocol, store);
             const auto outcome = protocol.result().outcome;
-            const auto isFalse = isApplied ? outcome == PublishOutcome::Conflict
+            const auto isWrong = isApplied ? outcome == PublishOutcome::Conflict
                                            : outcome == PublishOutcome::Applied;
-            if (isFalse)
-                found.push_back("forgotten after " + std::to_string(others) + ": "
+            if (isWrong)
+                found.push_back("evicted after " + std::to_string(others) + ": "
                                 + std::string(nameOf(outcome)));
         }
     }
     return found;
 }
 
-/// A reader that read the head and is overtaken by appliers still finds every section that its head names.
+/// A reader of a head that appliers have replaced meanwhile still finds every section that its head names.
 template <typename Policy>
 static auto runReaders() -> Violations
 {
@@ -252,12 +252,12 @@
         for (const auto &it : heads) {
             const auto isRecent = it.version + RetirementVersions > store.head().version;
             if (isRecent && !store.sectionsOf(it))
-                found.emplace_back("a reader on its way found a section gone");
+                found.emplace_back("a section of a recent head is missing");
         }
     }
-    // Three values change with each version; those of older versions must not pile up.
+    // Three values change with each version; those of older versions must not accumulate.
     if (store.pairs.size() > 5 + 40 + 3 * (RetirementVersions + 2))
-        found.push_back("old values pile up: " + std::to_string(store.pairs.size()));
+        found.push_back("old values accumulate: " + std::to_string(store.pairs.size()));
     return found;
 }
 
@@ -281,7 +281,7 @@
     static constexpr auto WritesSectionsFirst = false;
 };
 
-struct NeverForgets : PublishPolicy
+struct IgnoresEviction : PublishPolicy
 {
     static constexpr auto ReportsEvictedApplies = false;
 };
@@ -300,11 +300,11 @@
 
 Test(PublishMatrix, lostAnswersAmongManyApplies)
 {
-    const auto found = runForgotten<PublishPolicy>();
+    const auto found = runEvictedApplies<PublishPolicy>();
     cr_assert(found.empty(), "%zu violations, first: %s", found.size(), found[0].c_str());
 }
 
-Test(PublishMatrix, readersOnTheirWay)
+Test(PublishMatrix, readersOfAnOlderHead)
 {
     const auto found = runReaders<PublishPolicy>();
     cr_assert(found.empty(), "%zu violations, first: %s", found.size(), found[0].c_str());
@@ -313,10 +313,10 @@
 Test(PublishMatrix, eachGuardIsNeeded)
 {
     cr_assert(!runRaces<NoCompare>().empty());
-    cr_assert(!runForgotten<NoOwnApply>().empty());
+    cr_assert(!runEvictedApplies<NoOwnApply>().empty());
     cr_assert(!runReaders<NoRetirement>().empty());
     cr_assert(!runFaults<HeadFirst>().empty());
-    cr_assert(!runForgotten<NeverForgets>().empty());
+    cr_assert(!runEvictedApplies<IgnoresEviction>().empty());
 }
 
 Test(PublishProtocol, theSameFileAgainIsAlreadyInForce)
@@ -347,7 +347,7 @@
     cr_assert_eq(publish<PublishPolicy>(store, request).version, 71);
 }
 
-Test(PublishProtocol, valuesStaySmallAtTheLettersSize)
+Test(PublishProtocol, valuesStaySmallWith651Sections)
 {
     auto store = FakeStore();
     for (auto index = 0; index < 20; ++index)
--- a/tests/distribution/TestWatchSchedule.cpp
+++ b/tests/distribution/TestWatchSchedule.cpp
@@ -3,7 +3,7 @@
 // After Boost, whose headers its macros break.
 #include <criterion/criterion.h>
 
-/// When a node watches the store's head.
+/// Tests of the times at which a node opens and closes its watch of the store's head.
 using namespace stairspur;
 using namespace stairspur::distribution;
 using namespace std::chrono_literals;
@@ -29,8 +29,8 @@
     cr_expect(schedule.next(true, Start) == WatchStep::Open);
     cr_expect(!schedule.next(true, Start));
     cr_expect(schedule.next(false, Start) == WatchStep::Close);
-    cr_expect(!schedule.next(false, Start), "closed once");
-    cr_expect(!schedule.next(true, Start), "its end is still to come");
+    cr_expect(!schedule.next(false, Start), "it is closed only once");
+    cr_expect(!schedule.next(true, Start), "it has not ended yet");
 }
 
 Test(WatchSchedule, aNodeThatBecomesARelayWatchesAtOnce)
@@ -49,7 +49,7 @@
         cr_expect(pauseAfter(schedule, now, 14s) <= 100ms);
 }
 
-Test(WatchSchedule, refusalsInARowLengthenAPauseUpToItsBound)
+Test(WatchSchedule, consecutiveRefusalsLengthenThePauseUpToItsLimit)
 {
     auto schedule = WatchSchedule(1);
     auto now = Start;
@@ -62,7 +62,7 @@
     }
 }
 
-Test(WatchSchedule, aLostHistoryIsAnsweredAtOnceButNotForEver)
+Test(WatchSchedule, onlyTheFirstLostHistoryReopensAtOnce)
 {
     auto schedule = WatchSchedule(1);
     auto now = Start;
@@ -76,27 +76,27 @@
 
 Test(WatchSchedule, aNodeThatIsARelayForAMomentDoesNotWatch)
 {
-    // It has just started, and takes itself for the only one of its failure domain until it hears of the others.
+    // A starting node is the only member of its failure domain until it receives the others from membership.
     auto schedule = WatchSchedule(1, WatchSettling);
     cr_expect(!schedule.next(true, Start));
     cr_expect(!schedule.next(true, Start + 300ms));
     cr_expect(!schedule.next(false, Start + 400ms));
     cr_expect(!schedule.next(true, Start + 500ms));
-    cr_expect(!schedule.next(true, Start + 1400ms), "a relay anew for 0.9 s");
+    cr_expect(!schedule.next(true, Start + 1400ms), "a relay again for only 0.9 s");
     cr_expect(schedule.next(true, Start + 1500ms) == WatchStep::Open);
     schedule.didEnd(WatchEnding::HistoryLost, Start + 3s);
-    cr_expect(schedule.next(true, Start + 3s) == WatchStep::Open, "later ones do not wait");
+    cr_expect(schedule.next(true, Start + 3s) == WatchStep::Open, "later watches do not wait");
 }
 
-Test(WatchSchedule, aWatchIsOpenedAnewAtOnceWhenAnotherConnectionWasFoundSilent)
+Test(WatchSchedule, aWatchIsReopenedAtOnceWhenAnotherConnectionWasFoundSilent)
 {
     auto schedule = WatchSchedule(1);
     cr_assert(schedule.next(true, Start) == WatchStep::Open);
-    cr_expect_not(schedule.didFindSilence(Start), "it was opened on a new connection since");
+    cr_expect_not(schedule.didFindSilence(Start), "the watch was opened on a new connection");
     cr_expect(schedule.didFindSilence(Start + 5s));
-    cr_expect_not(schedule.didFindSilence(Start + 5s), "its end is still to come");
+    cr_expect_not(schedule.didFindSilence(Start + 5s), "it has not ended yet");
     cr_expect(schedule.didEnd(WatchEnding::Other, Start + 6s) == Duration{0});
     cr_expect(schedule.next(true, Start + 6s) == WatchStep::Open);
     cr_expect(schedule.didEnd(WatchEnding::Other, Start + 7s) > Duration{0},
-              "later ends have a pause");
+              "later watches follow after a pause");
 }
--- a/tests/distribution/TestWholeItem.cpp
+++ b/tests/distribution/TestWholeItem.cpp
@@ -27,7 +27,7 @@
     return item;
 }
 
-/// Hands an item to a node as its watch does, and carries out what the node asks for.
+/// Passes an item to a node as its watch does, and executes the node's reads of sections.
 static auto watchItem(DistributionState<> &state, const WholeItem &item) -> void
 {
     const auto split = splitWholeItem(item);
@@ -60,7 +60,7 @@
     cr_assert_eq(config::joinSections(state.current().sections()).routes[0].maxAttempts, 3);
 }
 
-Test(WholeItem, allHostsGiveOneItemOneHash)
+Test(WholeItem, allHostsComputeTheSameHashOfAnItem)
 {
     cr_assert_eq(splitWholeItem(makeItem(7, 2)).head.hash,
                  splitWholeItem(makeItem(7, 2)).head.hash);
--- a/tests/distribution/VirtualClock.h
+++ b/tests/distribution/VirtualClock.h
@@ -10,11 +10,11 @@
 
 namespace stairspur::distribution {
 
-/// A clock that stands still unless it is told to go on, and what is to happen at its times.
+/// A clock that advances only by advanceTo(), with the events scheduled by it.
 class VirtualClock
 {
 public:
-    /// Goes on to `time`, or to the next event if that is earlier, and plays the events that are due then.
+    /// Advances to `time`, or to the next event if that is earlier, and runs the events that are due then.
     auto advanceTo(TimePoint time) -> void
     {
         if (!m_events.empty())
@@ -35,7 +35,7 @@
     TimePoint now{Duration{1'000'000}};
 
 private:
-    /// The earliest is the greatest, for a priority queue.
+    /// A scheduled event. The earliest event compares as the greatest, as the priority queue requires.
     struct Event
     {
         TimePoint at;
--- a/tests/fuzz/distribution/main.cpp
+++ b/tests/fuzz/distribution/main.cpp
@@ -1,4 +1,4 @@
-// What nodes tell each other about configurations, and the store's records. The first byte says which.
+// Fuzzes the decoders of messages about configurations and of the store's records. The first byte selects the decoder.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
@@ -66,7 +66,7 @@
     try {
         decodeOne(data[0], {reinterpret_cast<const char *>(data) + 1, size - 1});
     } catch (const InputError &) {
-        return 0; // The one error that the service expects.
+        return 0; // This is the only error that the service expects.
     }
     return 0;
 }
--- a/tests/measure/distribution/main.cpp
+++ b/tests/measure/distribution/main.cpp
@@ -13,9 +13,9 @@
 using namespace stairspur::distribution;
 using namespace std::chrono_literals;
 
-/// 60,000 changes a day.
+/// Interval of 60,000 changes a day.
 static constexpr auto ChangeInterval = Duration{1'440'000};
-/// Of IP and UDP headers, the channel's topic, sender and HMAC, on each datagram; and of a frame on a kept link.
+/// Overhead of IP and UDP headers and the channel's topic, sender and HMAC on each datagram, and of a frame on a kept link.
 static constexpr auto DatagramOverhead = 28U + 64U;
 static constexpr auto RequestOverhead = 52U + 32U;
 
@@ -62,7 +62,7 @@
     return sum;
 }
 
-/// Applies one change after the other and notes how long each takes to reach every node.
+/// Applies one change after the other and records the time that each takes to reach every node.
 static auto spreadChanges(Cluster &cluster) -> Spread
 {
     auto spread = Spread();
@@ -104,7 +104,7 @@
                 static_cast<double>(cluster.storeReads - readsBefore) / FLAGS_changes);
 }
 
-/// What one change costs its applier, and how large the store's values get.
+/// Prints the store calls of one change and the sizes of the store's values.
 static auto measurePublishing() -> void
 {
     auto store = FakeStore();
@@ -136,7 +136,8 @@
             store.pairs.size(), sum);
 }
 
-/// How fast a change reaches every node, and what it costs, on a virtual clock with a fake network of 0.5 to 2 ms.
+/// Measures the time in which a change reaches every node, and its bytes and reads, on a virtual clock with a fake network of
+/// 0.5 to 2 ms latency.
 auto main(int argc, char **argv) -> int
 {
     std::setvbuf(stdout, nullptr, _IOLBF, 0);
--- a/tests/measure/freshness/main.cpp
+++ b/tests/measure/freshness/main.cpp
@@ -1,5 +1,5 @@
-// How old the proof of a configuration's freshness gets, and what it costs, by three ways of spreading it through one failure
-// domain: on a virtual clock.
+// Measures the age of the proof of a configuration's freshness and its cost, for three ways of spreading it through one
+// failure domain, on a virtual clock.
 #include <cstdio>
 #include <cstdlib>
 #include <vector>
@@ -9,18 +9,18 @@
 using namespace stairspur;
 using namespace stairspur::distribution;
 
-/// A relay reads the store once in this time, one after the other.
+/// Interval at which one of the relays, each in turn, reads the store.
 static constexpr auto ReadInterval = Duration{1'200'000};
-/// Of UDP, IP and the datagram's topic, for each datagram.
+/// Overhead of UDP, IP and the datagram's topic for each datagram.
 static constexpr auto FrameBytes = 48.0;
 
 struct Result
 {
-    double oldestSeconds = 0; ///< The oldest proof of any host, at any time.
-    double mostBytes = 0;     ///< That any one host sends, a second.
+    double oldestSeconds = 0; ///< Age of the oldest proof of any host at any time.
+    double maxBytes = 0;      ///< Largest number of bytes that any host sends in a second.
 };
 
-/// The way that was taken: pushed through a tree, counted from the receiver's own ask.
+/// Measures the implemented way: proofs are pushed through a tree and count from the receiver's own request.
 static auto measureTree(int hosts, double loss, bool isRelayPaused) -> Result
 {
     auto fleet = FreshnessFleet<>(1, hosts, 1);
@@ -42,11 +42,12 @@
     auto result = Result{std::chrono::duration<double>(fleet.oldest).count(), 0};
     auto index = std::size_t{0};
     for (const auto &[id, node] : fleet.cluster.nodes)
-        result.mostBytes = std::max(result.mostBytes, (sentBy(node) - before[index++]) / Seconds);
+        result.maxBytes = std::max(result.maxBytes, (sentBy(node) - before[index++]) / Seconds);
     return result;
 }
 
-/// Each host asks a random other one once in a period, as membership's probes do, and takes over the better proof.
+/// Measures gossip: each host queries a random other one once in a period, as membership's probes do, and adopts the newer
+/// proof.
 static auto measureGossip(int hosts, double loss, bool isRelayPaused, Duration period) -> Result
 {
     static constexpr auto Step = Duration{10'000};
@@ -76,16 +77,17 @@
                     std::max(result.oldestSeconds,
                              std::chrono::duration<double>(now - provenAt[host]).count());
     }
-    return result; // Its bytes ride on probes that are sent anyway.
+    return result; // Its bytes are part of probes that are sent in any case.
 }
 
-/// Each host asks one of the three relays once a second: its proof is as old as the last read and the last ask.
-static auto measureAsking(int hosts) -> Result
+/// Measures queries: each host queries one of the three relays once a second, so the age of its proof is the time since the
+/// last read plus the time since the last query.
+static auto measureQuerying(int hosts) -> Result
 {
-    static constexpr auto AskBytes = 30.0;
+    static constexpr auto QueryBytes = 30.0;
     const auto asked = static_cast<double>(hosts) / 3;
     return {std::chrono::duration<double>(ReadInterval).count() + 1.0,
-            asked * (FrameBytes + AskBytes)};
+            asked * (FrameBytes + QueryBytes)};
 }
 
 auto main() -> int
@@ -99,11 +101,11 @@
                 const auto tree = measureTree(hosts, loss, isPaused);
                 const auto quick = measureGossip(hosts, loss, isPaused, Duration{500'000});
                 const auto slow = measureGossip(hosts, loss, isPaused, Duration{1'000'000});
-                const auto asking = measureAsking(hosts);
+                const auto querying = measureQuerying(hosts);
                 std::printf("| %d | %.2f | %s | %.2f | %.0f | %.2f | %.2f | %.2f | %.0f |\n", hosts,
-                            loss, isPaused ? "yes" : "no", tree.oldestSeconds, tree.mostBytes,
-                            quick.oldestSeconds, slow.oldestSeconds, asking.oldestSeconds,
-                            asking.mostBytes);
+                            loss, isPaused ? "yes" : "no", tree.oldestSeconds, tree.maxBytes,
+                            quick.oldestSeconds, slow.oldestSeconds, querying.oldestSeconds,
+                            querying.maxBytes);
                 std::fflush(stdout);
             }
         }
