--- a/tests/distribution/DistributionScenarios.h
+++ b/tests/distribution/DistributionScenarios.h
@@ -316,7 +316,7 @@
         for (const auto &[id, node] : cluster.nodes) {
             alarms += node.alarms.size();
             if (node.state->current().hash() != first)
-                found.push_back("two hashes: " + id + " let the first go");
+                found.push_back("two hashes: " + id + " replaced the first configuration");
         }
         if (alarms == 0)
             found.emplace_back("two hashes: no alarm");
