--- a/include/stairspur/distribution/DistributionContext.h
+++ b/include/stairspur/distribution/DistributionContext.h
@@ -49,7 +49,7 @@
 /// The guards of the distribution. Tests disable one at a time to show that the fault matrix detects its absence.
 struct DistributionPolicy
 {
-    /// The version in force never goes back.
+    /// The version in force never decreases.
     static constexpr auto IsForwardOnly = true;
     /// Sections come into force only if they match the announced hash.
     static constexpr auto VerifiesHash = true;
--- a/source/distribution/Messages.cpp
+++ b/source/distribution/Messages.cpp
@@ -60,7 +60,7 @@
     return result;
 }
 
-/// Runs `read` on the decoded bytes; whatever is wrong with them becomes an InputError.
+/// Runs `read` on the decoded bytes and turns any error of the JSON library into an InputError.
 template <typename Read>
 static auto decodeWith(std::string_view bytes, Read read)
 {
--- a/tests/distribution/TestDistributionBound.cpp
+++ b/tests/distribution/TestDistributionBound.cpp
@@ -1,6 +1,6 @@
 #include "DistributionScenarios.h"
 
-// After Boost, whose headers its macros break.
+// This header is included after Boost, because its macros break Boost's headers.
 #include <criterion/criterion.h>
 
 /// Tests of the time limit for bringing a version into force, under faults of the platform's store, of relays and of links.
--- a/tests/distribution/TestDistributionMatrix.cpp
+++ b/tests/distribution/TestDistributionMatrix.cpp
@@ -1,6 +1,6 @@
 #include "DistributionScenarios.h"
 
-// After Boost, whose headers its macros break.
+// This header is included after Boost, because its macros break Boost's headers.
 #include <criterion/criterion.h>
 
 /// Tests every scenario with the real guards, and each disabled guard in the scenario that must detect its absence.
--- a/tests/distribution/TestDistributionService.cpp
+++ b/tests/distribution/TestDistributionService.cpp
@@ -12,7 +12,7 @@
 
 #include "standins/store/StoreServer.h"
 
-// After Boost, whose headers its macros break.
+// This header is included after Boost, because its macros break Boost's headers.
 #include <criterion/criterion.h>
 
 /// Tests the whole path (apply, store, relay, peers) on loopback with one io_context.
--- a/tests/distribution/TestFreshness.cpp
+++ b/tests/distribution/TestFreshness.cpp
@@ -1,6 +1,6 @@
 #include "FreshnessFleet.h"
 
-// After Boost, whose headers its macros break.
+// This header is included after Boost, because its macros break Boost's headers.
 #include <criterion/criterion.h>
 
 /// A host that serves callers by their keys must apply each revocation of a key within five seconds, whether it is connected
--- a/tests/distribution/TestPublishMatrix.cpp
+++ b/tests/distribution/TestPublishMatrix.cpp
@@ -9,7 +9,7 @@
 
 #include "FakeStore.h"
 
-// After Boost, whose headers its macros break.
+// This header is included after Boost, because its macros break Boost's headers.
 #include <criterion/criterion.h>
 
 /// Tests the apply protocol under every fault at every step, and under every order of concurrent steps. Each run returns the
@@ -339,7 +339,7 @@
     cr_assert(publish<PublishPolicy>(store, request).outcome == PublishOutcome::Applied);
 }
 
-Test(PublishProtocol, anEmptiedStoreGoesOnAboveTheVersionInForce)
+Test(PublishProtocol, anEmptiedStoreContinuesAboveTheVersionInForce)
 {
     auto store = FakeStore();
     auto request = requestFor(sectionsOf(3, "a"), "1");
--- a/tests/distribution/TestWatchSchedule.cpp
+++ b/tests/distribution/TestWatchSchedule.cpp
@@ -1,6 +1,6 @@
 #include <stairspur/distribution/WatchSchedule.h>
 
-// After Boost, whose headers its macros break.
+// This header is included after Boost, because its macros break Boost's headers.
 #include <criterion/criterion.h>
 
 /// Tests of the times at which a node opens and closes its watch of the store's head.
