--- a/source/distribution/Messages.cpp
+++ b/source/distribution/Messages.cpp
@@ -56,7 +56,7 @@
     result.sinceSubscription = Duration(json.at(2).get<Duration::rep>());
     if (result.sinceSubscription > MaxSinceSubscription
         || result.sinceSubscription < -MaxSinceSubscription)
-        throw InputError("a confirmation is of a time that cannot be", Remedy);
+        throw InputError("a confirmation contains an impossible time", Remedy);
     return result;
 }
 
