--- a/include/stairspur/distribution/DistributionState.h
+++ b/include/stairspur/distribution/DistributionState.h
@@ -18,13 +18,13 @@
 
 namespace stairspur::distribution {
 
-/// One node's part in bringing configurations into force everywhere, without I/O or clock: events go in, actions come
-/// out of takeActions().
+/// Implements one node's distribution of configurations without I/O or clock. Events are passed in; takeActions() returns
+/// the resulting actions.
 ///
-/// A node that takes a version into force tells a few random peers of its domain. Those who miss that learn from
-/// the digest on membership's probes and acks. Whoever hears of a newer version fetches what changed. A few relays in
-/// each domain follow the store's head, and tell members of the other domains, so that a domain cut off from the store
-/// still learns. Versions only go forward.
+/// A node that brings a version into force sends its digest to a few random peers of its domain. Nodes that miss it receive
+/// the digest on membership's probes and acks. A node that receives the digest of a newer version fetches the changes. A few
+/// relays in each domain follow the store's head and send digests to members of other domains, so that a domain that is cut
+/// off from the store also receives new versions. The version in force never decreases.
 template <typename Policy = DistributionPolicy>
 class DistributionState
 {
@@ -49,7 +49,7 @@
     auto operator=(DistributionState &&) -> DistributionState & = delete;
     ~DistributionState() = default;
 
-    /// Every node that is believed alive, this one included or not.
+    /// Sets the alive nodes of the membership view, which may include this node.
     auto setPeers(std::vector<Peer> alive) -> void
     {
         std::erase_if(alive, [&](const auto &it) { return it.node == m_context.self; });
@@ -78,10 +78,11 @@
             m_otherDomains.push_back(std::move(members));
     }
 
-    [[nodiscard]] auto digest() const -> Digest { return m_context.known.digest(); }
-    [[nodiscard]] auto known() const -> const KnownConfiguration & { return m_context.known; }
+    [[nodiscard]] auto digest() const -> Digest { return m_context.current.digest(); }
+    [[nodiscard]] auto current() const -> const CurrentConfiguration & { return m_context.current; }
     [[nodiscard]] auto isRelay() const -> bool { return m_context.isRelay; }
-    /// When the configuration in force was the store's newest for certain; nothing: not known, or not kept.
+    /// Returns the last time at which the configuration in force was certainly the store's newest. Returns nothing without a
+    /// proof or when proofs are disabled.
     [[nodiscard]] auto provenAt() const -> std::optional<TimePoint>
     {
         return m_freshness.provenAt();
@@ -91,19 +92,21 @@
         return m_context.counters;
     }
 
+    /// Removes and returns the pending actions.
     [[nodiscard]] auto takeActions() -> std::vector<Action>
     {
         return std::exchange(m_context.actions, {});
     }
 
-    /// From a membership probe or ack of `from`.
-    auto didHearDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
+    /// Processes the digest on a membership probe or ack of `from`.
+    auto didReceiveDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
-        if (!Policy::ListensToDigests)
+        if (!Policy::HandlesDigests)
             return;
-        note(from, digest, now);
+        processDigest(from, digest, now);
     }
 
+    /// Processes a datagram of `from`; a malformed one is counted.
     auto didReceiveDatagram(const NodeId &from, std::string_view payload, TimePoint now) -> void
     {
         m_context.counters.datagramBytesReceived += payload.size();
@@ -114,25 +117,26 @@
         }
     }
 
-    /// The reply to a peer's control request. Throws InputError when it cannot be read.
+    /// Returns the reply to a peer's control request. Throws InputError when the request cannot be decoded.
     [[nodiscard]] auto serve(std::string_view payload) const -> std::string
     {
         const auto request = decodePullRequest(payload);
-        const auto &known = m_context.known;
+        const auto &current = m_context.current;
         auto reply = PullReply();
-        reply.digest = known.digest();
-        reply.since = known.hasChangesSince(request.since) ? request.since : 0;
+        reply.digest = current.digest();
+        reply.since = current.hasChangesSince(request.since) ? request.since : 0;
         reply.piece =
-                known.changesSince(reply.since, request.cursor, m_context.settings.pieceBytes);
+                current.changesSince(reply.since, request.cursor, m_context.settings.pieceBytes);
         return encode(reply);
     }
 
+    /// Processes the reply to the control request `id`.
     auto didReceiveReply(std::uint64_t id, std::string_view payload, TimePoint now) -> void
     {
         m_context.counters.requestBytesReceived += payload.size();
         try {
             const auto reply = decodePullReply(payload);
-            m_context.lastHeard = now;
+            m_context.lastReceivedAt = now;
             adopt(m_fetch.didReceiveReply(id, reply, now), now);
         } catch (const InputError &) {
             m_context.counters.malformed += 1;
@@ -145,13 +149,13 @@
         m_fetch.didFailRequest(id, now);
     }
 
-    /// The answer to ReadHead; nothing when the store has no head.
+    /// Processes the result of ReadHead; `head` is empty when the store has none.
     auto didReadHead(const std::optional<Head> &head, TimePoint now) -> void
     {
-        adopt(m_follower.didReadHead(head, NewsSource::Read, now), now);
+        adopt(m_follower.didReadHead(head, ConfigurationSource::Read, now), now);
     }
 
-    /// After didReadHead(): the read was sent at `sentAt`, so that this head was the newest then.
+    /// Records that `head` was the newest at `sentAt`, when the read was sent. To be called after didReadHead().
     auto didProveHead(const Head &head, TimePoint sentAt, TimePoint now) -> void
     {
         m_freshness.didReadHead(head.version, sentAt, now);
@@ -163,20 +167,21 @@
         m_freshness.didFailToReadHead(now);
     }
 
-    /// A read that was sent at `sentAt` found that a connection to the store has fallen silent; the watch may wait on another.
+    /// Records that a read sent at `sentAt` found a silent connection to the store. The connection of the watch may be silent
+    /// too, so the watch is closed and opened again.
     auto didFindSilence(TimePoint sentAt) -> void
     {
         if (m_watch.didFindSilence(sentAt))
             m_context.actions.emplace_back(CloseWatch{});
     }
 
-    /// A message of a relay's watch.
+    /// Processes a message of a relay's watch.
     auto didWatchHead(const Head &head, TimePoint now) -> void
     {
-        adopt(m_follower.didReadHead(head, NewsSource::Watch, now), now);
+        adopt(m_follower.didReadHead(head, ConfigurationSource::Watch, now), now);
     }
 
-    /// Returns the pause before the next watch.
+    /// Records the end of the watch and returns the pause before the next one.
     auto didEndWatch(WatchEnding ending, TimePoint now) -> Duration
     {
         const auto pause = m_watch.didEnd(ending, now);
@@ -184,6 +189,7 @@
         return pause;
     }
 
+    /// Processes the result of ReadSections.
     auto didReadSections(const Blobs &blobs, TimePoint now) -> void
     {
         try {
@@ -196,7 +202,7 @@
 
     auto didFailToReadSections(TimePoint now) -> void { m_follower.didFailToReadSections(now); }
 
-    /// To be called several times a second.
+    /// Runs the timers. To be called several times a second.
     auto tick(TimePoint now) -> void
     {
         m_fetch.tick(now);
@@ -206,9 +212,9 @@
             m_follower.readOutOfTurn();
         updateWatch(now);
         if (m_roundsLeft > 0 && now >= m_nextRound)
-            tellOneMore(now);
+            sendToOneMore(now);
         if (now >= m_nextCrossDomain)
-            tellOtherDomain(now);
+            sendToOtherDomain(now);
     }
 
 private:
@@ -225,21 +231,21 @@
 
     auto handle(const NodeId &from, const ConfigDatagram &datagram, TimePoint now) -> void
     {
-        const auto version = m_context.known.version();
+        const auto version = m_context.current.version();
         switch (datagram.kind) {
-        case DatagramKind::News:
-            // Whoever tells of an older version has missed this one.
+        case DatagramKind::CurrentVersion:
+            // A node that sends an older version has missed this one.
             if (datagram.digest.version < version)
-                m_context.tell(from);
+                m_context.sendVersion(from);
             break;
-        case DatagramKind::Ask:
-            answerAsk(from, datagram.digest);
+        case DatagramKind::ChangesRequest:
+            answerChangesRequest(from, datagram.digest);
             break;
         case DatagramKind::Delta:
             adopt(m_fetch.didReceiveDelta(from, datagram, now), now);
             return;
-        case DatagramKind::Large:
-            m_fetch.didHearLarge(from, now);
+        case DatagramKind::TooLarge:
+            m_fetch.didReceiveTooLarge(from, now);
             break;
         case DatagramKind::Subscribe:
             m_freshness.didReceiveSubscribe(from, datagram.confirmation.subscription, now);
@@ -248,35 +254,35 @@
             m_freshness.didReceiveConfirm(datagram.confirmation, now);
             break;
         }
-        note(from, datagram.digest, now);
+        processDigest(from, datagram.digest, now);
     }
 
-    auto answerAsk(const NodeId &from, const Digest &theirs) -> void
+    auto answerChangesRequest(const NodeId &from, const Digest &theirs) -> void
     {
-        const auto &known = m_context.known;
-        if (theirs.version >= known.version())
-            return m_context.tell(from);
-        auto reply = ConfigDatagram{DatagramKind::Large, known.digest(), theirs.version, {}};
-        if (known.hasChangesSince(theirs.version)) {
-            auto piece = known.changesSince(theirs.version, {}, m_context.settings.datagramBytes);
+        const auto &current = m_context.current;
+        if (theirs.version >= current.version())
+            return m_context.sendVersion(from);
+        auto reply = ConfigDatagram{DatagramKind::TooLarge, current.digest(), theirs.version, {}};
+        if (current.hasChangesSince(theirs.version)) {
+            auto piece = current.changesSince(theirs.version, {}, m_context.settings.datagramBytes);
             reply.changes = std::move(piece.changes);
-            reply.kind = piece.isLast ? DatagramKind::Delta : DatagramKind::Large;
+            reply.kind = piece.isLast ? DatagramKind::Delta : DatagramKind::TooLarge;
         }
         if (encode(reply).size() > m_context.settings.datagramBytes)
-            reply.kind = DatagramKind::Large;
+            reply.kind = DatagramKind::TooLarge;
         m_context.send(from, reply);
     }
 
-    auto note(const NodeId &from, const Digest &digest, TimePoint now) -> void
+    auto processDigest(const NodeId &from, const Digest &digest, TimePoint now) -> void
     {
-        m_context.lastHeard = now;
-        const auto own = m_context.known.digest();
+        m_context.lastReceivedAt = now;
+        const auto own = m_context.current.digest();
         if (digest.version == own.version && digest != own)
-            didSeeTwoHashes(from, digest, now);
-        m_fetch.didHear(from, digest, now);
+            didReceiveSecondHash(from, digest, now);
+        m_fetch.didReceiveDigest(from, digest, now);
     }
 
-    auto didSeeTwoHashes(const NodeId &from, const Digest &seen, TimePoint) -> void
+    auto didReceiveSecondHash(const NodeId &from, const Digest &seen, TimePoint) -> void
     {
         if (m_alarmed == seen)
             return;
@@ -289,13 +295,13 @@
         if (!adoption)
             return;
         const auto seen = digestOf(adoption->version, adoption->candidate.hash);
-        if (!isNewer<Policy>(seen, m_context.known.digest()))
+        if (!isNewer<Policy>(seen, m_context.current.digest()))
             return;
-        m_context.known.adopt(adoption->version, std::move(adoption->candidate));
+        m_context.current.adopt(adoption->version, std::move(adoption->candidate));
         m_context.counters.adoptions += 1;
         m_context.actions.emplace_back(Publish{adoption->source, adoption->from});
-        tellPeers(adoption->from);
-        tellOtherDomains(now);
+        sendToPeers(adoption->from);
+        sendToOtherDomains(now);
         m_roundsLeft = m_context.settings.laterRounds;
         m_nextRound = now + m_context.settings.roundInterval;
         m_fetch.didAdopt(now);
@@ -303,8 +309,8 @@
         adopt(m_follower.didAdopt(now), now);
     }
 
-    /// Tells a few random peers of the own domain, other than the one that this came from.
-    auto tellPeers(const NodeId &source) -> void
+    /// Sends the version to a few random peers of this node's domain, except the node that it was received from.
+    auto sendToPeers(const NodeId &source) -> void
     {
         auto &peers = m_context.domainPeers;
         const auto n = std::min<std::size_t>(peers.size(), m_context.settings.fanout);
@@ -312,40 +318,42 @@
             const auto other = index + randomBelow(m_context.random, peers.size() - index);
             std::swap(peers[index], peers[other]);
             if (peers[index] != source)
-                m_context.tell(peers[index]);
+                m_context.sendVersion(peers[index]);
         }
     }
 
-    /// Later rounds reach most of those whom the first left out, sooner than membership's next probe.
-    auto tellOneMore(TimePoint now) -> void
+    /// Sends the version to one more peer. Later rounds reach most of the nodes that the first one left out, sooner than
+    /// membership's next probe.
+    auto sendToOneMore(TimePoint now) -> void
     {
         m_roundsLeft -= 1;
         m_nextRound = now + m_context.settings.roundInterval;
         const auto &peers = m_context.domainPeers;
         if (!peers.empty())
-            m_context.tell(peers[randomBelow(m_context.random, peers.size())]);
+            m_context.sendVersion(peers[randomBelow(m_context.random, peers.size())]);
     }
 
-    /// A domain whose relays have lost the store should not wait for its turn. A few domains alone, so that the bytes don't grow
-    /// with their number; those tell further ones.
-    auto tellOtherDomains(TimePoint now) -> void
+    /// Sends a new version to a few other domains at once, so that a domain whose relays have lost the store does not wait
+    /// for its turn. The number of domains is limited so that the bytes sent do not grow with it; relays of the reached
+    /// domains send the version to further ones.
+    auto sendToOtherDomains(TimePoint now) -> void
     {
         const auto n =
                 std::min<std::size_t>(m_otherDomains.size(), m_context.settings.crossDomainFanout);
         for (auto index = std::size_t{0}; index < n; ++index)
-            tellOtherDomain(now);
+            sendToOtherDomain(now);
     }
 
-    /// One other domain at a time, in turn: the bytes don't grow with domains. Any of its members may be told, since its
-    /// relays may have stopped without anybody having noticed yet.
-    auto tellOtherDomain(TimePoint now) -> void
+    /// Sends the version to one other domain, each in turn, so that the bytes sent do not grow with the number of domains.
+    /// The receiver is a random member, since the domain's relays may have stopped without membership having detected it.
+    auto sendToOtherDomain(TimePoint now) -> void
     {
-        if (!Policy::TellsOtherDomains || !m_context.isRelay || m_otherDomains.empty())
+        if (!Policy::SendsToOtherDomains || !m_context.isRelay || m_otherDomains.empty())
             return;
         m_nextCrossDomain = now + m_context.settings.crossDomainInterval;
         m_turn = (m_turn + 1) % m_otherDomains.size();
         const auto &members = m_otherDomains[m_turn];
-        m_context.tell(members[randomBelow(m_context.random, members.size())]);
+        m_context.sendVersion(members[randomBelow(m_context.random, members.size())]);
     }
 
     DistributionContext m_context;
@@ -353,12 +361,12 @@
     HeadFollower<Policy> m_follower;
     Freshness<Policy> m_freshness;
     WatchSchedule m_watch;
-    std::vector<std::vector<NodeId>> m_otherDomains; ///< Their members.
-    std::size_t m_turn = 0;
+    std::vector<std::vector<NodeId>> m_otherDomains; ///< Members of each other domain.
+    std::size_t m_turn = 0; ///< Index of the other domain that was last sent the version.
     TimePoint m_nextCrossDomain{};
     std::uint32_t m_roundsLeft = 0;
     TimePoint m_nextRound{};
-    Digest m_alarmed;
+    Digest m_alarmed; ///< Digest of the last alarm, which is raised once.
 };
 
 } // namespace stairspur::distribution
--- a/include/stairspur/distribution/PublishProtocol.h
+++ b/include/stairspur/distribution/PublishProtocol.h
@@ -20,70 +20,82 @@
 
 namespace stairspur::distribution {
 
+/// Outcome of an apply.
 enum class PublishOutcome {
-    Applied,
-    AlreadyInForce,   ///< The very same configuration was in force; nothing was written.
-    Conflict,         ///< Another applier came first; `inForce` names what it applied.
-    StoreUnavailable, ///< Nothing of this apply is or will be in force.
-    Unknown,          ///< The store's answer was lost and its state could not be read.
-    Rejected,         ///< The store refuses this configuration.
+    Applied,          ///< The configuration came into force.
+    AlreadyInForce,   ///< The same configuration was in force; nothing was written.
+    Conflict,         ///< Another applier changed the head first; `inForce` is its head.
+    StoreUnavailable, ///< The apply is not in force and cannot come into force later.
+    Unknown,          ///< The store's answer was lost and its state could not be determined.
+    Rejected,         ///< The store rejected the configuration, or its state cannot be decoded.
 };
 
+/// Result of an apply.
 struct PublishResult
 {
     PublishOutcome outcome = PublishOutcome::Unknown;
-    std::uint64_t version = 0; ///< Under which it was applied, for `Applied`.
-    Head inForce;              ///< As last read or written; version 0 when unknown.
-    std::string detail;
+    std::uint64_t version = 0; ///< Version of the applied configuration, for `Applied`.
+    Head inForce;              ///< Head that was last read or written; version 0 if there is none.
+    std::string detail;        ///< Cause of the outcome in words.
 };
 
-/// What the protocol asks of the store next.
+/// Next request of the protocol to the store.
 using StoreRequest = std::variant<store::RangeRequest, store::Transaction>;
 
-/// The guards of the protocol. Tests take one away at a time to show that the fault matrix sees it.
+/// The guards of the protocol. Tests disable one at a time to show that the fault matrix detects its absence.
 struct PublishPolicy
 {
-    static constexpr auto ComparesHead = true;     ///< The head is written by compare-and-swap.
-    static constexpr auto LooksForOwnApply = true; ///< After a lost answer, before anything else.
-    static constexpr auto KeepsRetiredSections = true; ///< For readers that are on their way.
+    /// The head is written by compare-and-swap.
+    static constexpr auto ComparesHead = true;
+    /// After a lost answer the head is first searched for the id of this apply.
+    static constexpr auto LooksForOwnApply = true;
+    /// Sections that are no longer named stay for readers of an older head.
+    static constexpr auto KeepsRetiredSections = true;
+    /// Sections are written before the head that names them.
     static constexpr auto WritesSectionsFirst = true;
-    static constexpr auto AdmitsForgottenApplies = true; ///< Says unknown when the head forgot.
+    /// The outcome is Unknown if the head may no longer record this apply.
+    static constexpr auto ReportsEvictedApplies = true;
 };
 
-/// Applies one configuration, step by step and without I/O: ask next(), carry the request out, hand in its result.
+/// Applies one configuration step by step and without I/O. The caller executes the request that next() returns and passes
+/// its result in.
 ///
-/// Sections are stored by their hash and change nothing by themselves. The head is the only switch; its write is bound
-/// to the revision that was read, so that of several appliers one wins and a repeated write does no harm.
+/// Sections are stored by their hash and have no effect by themselves. Only the head determines what is in force. Its write
+/// is conditional on the revision that was read, so that one of several concurrent appliers succeeds and a repeated write has
+/// no effect.
 template <typename Policy = PublishPolicy>
 class PublishProtocol
 {
 public:
-    static constexpr auto MaxOperations = std::size_t{100};     ///< etcd's default limit is 128.
-    static constexpr auto MaxWriteBytes = std::size_t{500'000}; ///< Values hold up to a megabyte.
-    static constexpr auto MaxDoubtfulReads = 8U;
+    static constexpr auto MaxOperations =
+            std::size_t{100}; ///< Operations of a transaction; etcd's default limit is 128.
+    static constexpr auto MaxWriteBytes =
+            std::size_t{500'000}; ///< Bytes of a transaction; a value may have up to a megabyte.
+    static constexpr auto MaxVerifications = 8U; ///< Reads of the head after a lost answer.
 
     explicit PublishProtocol(PublishRequest request)
         : m_request(std::move(request))
         , m_hash(config::hashOf(m_request.sections))
     {
-        askForHead(Step::ReadHead);
+        requestHead(Step::ReadHead);
     }
 
     [[nodiscard]] auto isDone() const -> bool { return m_step == Step::Done; }
-    /// Only while not done.
+    /// Returns the next request. To be called only while isDone() is false.
     [[nodiscard]] auto next() const -> const StoreRequest & { return m_next; }
-    /// Only when done.
+    /// Returns the result. To be called only when isDone() is true.
     [[nodiscard]] auto result() const -> const PublishResult & { return m_result; }
-    /// Whether the next request repeats one that failed, so that a pause before it makes sense.
-    [[nodiscard]] auto isRepeating() const -> bool { return m_doubtfulReads > 0; }
+    /// Returns whether the next request repeats a failed one, so that the caller should pause before it.
+    [[nodiscard]] auto isRepeating() const -> bool { return m_verifications > 0; }
 
-    auto didRange(const store::StoreResult<store::RangeAnswer> &result) -> void
+    /// Processes the result of a RangeRequest.
+    auto didReceiveRange(const store::StoreResult<store::RangeAnswer> &result) -> void
     {
         if (!result.isOk())
             return didFailToRead(result.detail);
         try {
-            if (m_step == Step::ReadInDoubt)
-                didReadInDoubt(result.value);
+            if (m_step == Step::VerifyWrite)
+                didVerifyWrite(result.value);
             else if (m_step == Step::ReadHead)
                 didReadHead(result.value);
             else
@@ -93,7 +105,8 @@
         }
     }
 
-    auto didTxn(const store::StoreResult<store::WriteAnswer> &result) -> void
+    /// Processes the result of a Transaction.
+    auto didReceiveTxn(const store::StoreResult<store::WriteAnswer> &result) -> void
     {
         if (result.status == store::StoreStatus::Rejected && !m_mayBeWritten)
             return end(PublishOutcome::Rejected, result.detail);
@@ -107,7 +120,7 @@
         if (result.status == store::StoreStatus::Unreachable && !m_mayBeWritten)
             return end(PublishOutcome::StoreUnavailable, result.detail);
         m_mayBeWritten = m_mayBeWritten || result.status == store::StoreStatus::Unknown;
-        askForHead(Step::ReadInDoubt);
+        requestHead(Step::VerifyWrite);
     }
 
 private:
@@ -117,11 +130,11 @@
         ReadBuckets,
         WriteSections,
         WriteHead,
-        ReadInDoubt,
+        VerifyWrite,
         Done,
     };
 
-    auto askForHead(Step step) -> void
+    auto requestHead(Step step) -> void
     {
         m_step = step;
         m_next = store::RangeRequest{.key = std::string(HeadKey)};
@@ -141,8 +154,8 @@
         end(PublishOutcome::Applied, {});
     }
 
-    /// The configuration that is in force is another's, and ours never will be under this apply id.
-    auto didLose(Head head) -> void
+    /// Ends the apply because another applier's configuration is in force, so that this apply cannot come into force later.
+    auto didLoseRace(Head head) -> void
     {
         m_result.inForce = std::move(head);
         end(m_result.inForce.hash == m_hash ? PublishOutcome::AlreadyInForce
@@ -164,19 +177,19 @@
         if (m_base.head.version == 0)
             return prepareWrites();
         m_step = Step::ReadRoot;
-        askForBlob(m_base.head.listHash);
+        requestBlob(m_base.head.listHash);
     }
 
-    auto askForBlob(const std::string &hash) -> void
+    auto requestBlob(const std::string &hash) -> void
     {
         m_next = store::RangeRequest{.key = sectionKey(hash)};
     }
 
-    /// Reads the list of the configuration in force, but for the buckets that are the same as ours.
+    /// Reads the list of the configuration in force, except buckets that are the same in the new list.
     auto didReadList(const store::RangeAnswer &answer) -> void
     {
         if (answer.pairs.empty())
-            return startAnew();
+            return restart();
         if (m_step == Step::ReadRoot) {
             m_base.root = decodeRoot(answer.pairs[0].value);
             const auto own = encodeList({config::hashesOf(m_request.sections), {}});
@@ -191,18 +204,19 @@
         }
         if (m_bucketsToRead.empty())
             return prepareWrites();
-        askForBlob(m_bucketsToRead.front());
+        requestBlob(m_bucketsToRead.front());
     }
 
-    /// A part of the list is gone: the head has moved on since it was read, which the comparison would find as well.
-    auto startAnew() -> void
+    /// Starts again with the head, since a part of the list is missing. The head has changed since it was read, and the
+    /// comparison of its revision would fail as well.
+    auto restart() -> void
     {
         if (++m_restarts > MaxRestarts)
-            return end(PublishOutcome::StoreUnavailable, "the list of sections is not whole");
+            return end(PublishOutcome::StoreUnavailable, "the list of sections is incomplete");
         m_base = {};
         m_baseRevision = 0;
         m_bucketsToRead.clear();
-        askForHead(Step::ReadHead);
+        requestHead(Step::ReadHead);
     }
 
     auto prepareWrites() -> void
@@ -225,7 +239,7 @@
         return piece;
     }
 
-    /// Writes a piece of the sections alone, or the last one together with the head: all of it or nothing.
+    /// Writes a piece of the sections, or the last piece together with the head in one atomic transaction.
     auto writeNext() -> void
     {
         auto transaction = store::Transaction();
@@ -247,15 +261,15 @@
 
     auto didFailToRead(const std::string &detail) -> void
     {
-        if (m_step != Step::ReadInDoubt)
+        if (m_step != Step::VerifyWrite)
             return end(PublishOutcome::StoreUnavailable, detail);
-        if (++m_doubtfulReads > MaxDoubtfulReads)
+        if (++m_verifications > MaxVerifications)
             end(m_mayBeWritten ? PublishOutcome::Unknown : PublishOutcome::StoreUnavailable,
                 detail);
     }
 
-    /// The head's write may or may not have been applied: only the head can tell.
-    auto didReadInDoubt(const store::RangeAnswer &answer) -> void
+    /// Reads from the head whether its write was applied, after the answer to the write was lost.
+    auto didVerifyWrite(const store::RangeAnswer &answer) -> void
     {
         const auto &pairs = answer.pairs;
         auto head = pairs.empty() ? Head() : decodeHead(pairs[0].value);
@@ -264,20 +278,21 @@
             Policy::LooksForOwnApply && own != nullptr)
             return didApply(own->version, std::move(head));
         if (revision == m_baseRevision) {
-            if (++m_doubtfulReads > MaxDoubtfulReads)
-                return end(PublishOutcome::Unknown, "the store takes neither yes nor no");
+            if (++m_verifications > MaxVerifications)
+                return end(PublishOutcome::Unknown,
+                           "the store neither confirms nor refuses the write");
             m_step = Step::WriteHead;
             m_next = m_headWrite;
             return;
         }
-        const auto mayBeForgotten =
-                head.version == 0 || head.version > m_base.head.version + RememberedApplies;
-        if (m_mayBeWritten && mayBeForgotten && Policy::AdmitsForgottenApplies) {
+        const auto mayBeEvicted =
+                head.version == 0 || head.version > m_base.head.version + MaxRecordedApplies;
+        if (m_mayBeWritten && mayBeEvicted && Policy::ReportsEvictedApplies) {
             m_result.inForce = std::move(head);
             return end(PublishOutcome::Unknown,
                        "later applies have displaced the record of this one");
         }
-        didLose(std::move(head));
+        didLoseRace(std::move(head));
     }
 
     static constexpr auto MaxRestarts = 3U;
@@ -291,8 +306,8 @@
     store::Revision m_baseRevision = 0;
     std::deque<std::string> m_bucketsToRead;
     WritePlan m_plan;
-    bool m_mayBeWritten = false; ///< An earlier write of the head went without an answer.
-    std::uint32_t m_doubtfulReads = 0;
+    bool m_mayBeWritten = false; ///< Whether an earlier write of the head got no answer.
+    std::uint32_t m_verifications = 0;
     std::uint32_t m_restarts = 0;
     PublishResult m_result;
 };
--- a/source/distribution/DistributionService.cpp
+++ b/source/distribution/DistributionService.cpp
@@ -23,7 +23,7 @@
 
 static constexpr auto TickInterval = Duration{100'000};
 
-/// What the coroutines share with their service, so that they may end after it.
+/// State that the service shares with its coroutines, so that a coroutine may end after the service.
 class DistributionService::Runner : public std::enable_shared_from_this<Runner>
 {
 public:
@@ -53,19 +53,19 @@
         carryOut(CloseWatch{});
     }
 
-    auto didHearDigest(const NodeId &from, std::string_view bytes) -> void
+    auto didReceiveDigest(const NodeId &from, std::string_view bytes) -> void
     {
         if (bytes.empty())
             return;
         try {
-            m_state.didHearDigest(from, decodeDigest(bytes), monotonicNow());
+            m_state.didReceiveDigest(from, decodeDigest(bytes), monotonicNow());
         } catch (const InputError &) {
             ++m_malformedDigests;
         }
         carryOut();
     }
 
-    /// Moves a peer's request from its thread to the control thread and back.
+    /// Serves a peer's request, received on any thread, on the control thread.
     static auto serveAnywhere(std::shared_ptr<Runner> self, std::string payload)
             -> Task<std::string>
     {
@@ -89,7 +89,7 @@
         co_return self->m_state.serve(payload);
     }
 
-    /// Runs a coroutine whose locals keep this object alive.
+    /// Runs a coroutine and keeps this object alive until it ends.
     auto spawn(Task<void> task) -> void
     {
         asio::co_spawn(m_control, std::move(task),
@@ -171,7 +171,7 @@
         m_watch = std::make_shared<transport::Cancellation>();
         auto handler = [weak = weak_from_this()](const store::WatchMessage &message) {
             if (const auto self = weak.lock())
-                self->didHearWatch(message);
+                self->didReceiveWatch(message);
         };
         auto request =
                 store::WatchRequest{.key = m_headReader.key(), .startRevision = m_watchRevision};
@@ -180,7 +180,7 @@
         co_return end;
     }
 
-    auto didHearWatch(const store::WatchMessage &message) -> void
+    auto didReceiveWatch(const store::WatchMessage &message) -> void
     {
         if (m_isStopped)
             return;
@@ -201,7 +201,7 @@
             for (auto &action : actions)
                 std::visit([this](auto &it) { carryOut(std::move(it)); }, action);
         }
-        // After the configuration that the proof speaks of, so that nobody finds the proof without it.
+        // The proof is published after its configuration, so that no reader finds the proof without it.
         if (m_isStopped || !m_parts.didProve || m_state.provenAt() == m_provenAt)
             return;
         m_provenAt = m_state.provenAt();
@@ -269,7 +269,7 @@
     auto loadSections(ReadSections action) -> Task<void>
     {
         if (const auto &whole = m_headReader.wholeItem()) {
-            // The item that gave the head has brought all sections with it.
+            // The item that contained the head also contained all sections.
             m_state.didReadSections(whole->blobs, monotonicNow());
             carryOut();
             co_return;
@@ -278,7 +278,7 @@
         auto blobs = Blobs();
         auto isOk = true;
         while (isOk && !requests.empty())
-            isOk = takeAnswer(co_await m_parts.store->range(requests.back()), requests, blobs);
+            isOk = addAnswer(co_await m_parts.store->range(requests.back()), requests, blobs);
         if (isOk)
             m_state.didReadSections(blobs, monotonicNow());
         else
@@ -286,25 +286,25 @@
         carryOut();
     }
 
-    auto carryOut(const Publish &news) -> void
+    auto carryOut(const Publish &publish) -> void
     {
-        const auto &known = m_state.known();
+        const auto &current = m_state.current();
         auto next = std::make_shared<config::VersionedConfiguration>();
-        next->version = known.version();
-        next->hash = known.hash();
+        next->version = current.version();
+        next->hash = current.hash();
         try {
-            next->configuration = config::joinSections(known.sections());
+            next->configuration = config::joinSections(current.sections());
         } catch (const config::SectionError &error) {
             log::Line(log::Severity::Error, "configuration-unreadable")
-                    .add("version", known.version())
+                    .add("version", current.version())
                     .add("error", error.what());
             return;
         }
         log::Line(log::Severity::Info, "configuration-in-force")
-                .add("version", known.version())
-                .add("hash", known.hash())
-                .add("source", news.source)
-                .add("from", news.from);
+                .add("version", current.version())
+                .add("hash", current.hash())
+                .add("source", publish.source)
+                .add("from", publish.from);
         m_parts.didPublish(std::move(next));
     }
 
@@ -325,10 +325,11 @@
     transport::Timer m_ticker;
     std::shared_ptr<const membership::MembershipView> m_view;
     transport::CancellationPtr m_watch;
-    store::Revision m_watchRevision = 0; ///< Where the next watch begins; 0: with the present head.
+    store::Revision m_watchRevision =
+            0; ///< Revision at which the next watch starts; 0 for the current head.
     HeadReader m_headReader;
     std::uint64_t m_malformedDigests = 0;
-    std::optional<TimePoint> m_provenAt; ///< As last told.
+    std::optional<TimePoint> m_provenAt; ///< Time that was last passed to didProve.
     bool m_isStopped = false;
 };
 
@@ -366,19 +367,19 @@
     return m_runner->state().digest().encode();
 }
 
-auto DistributionService::didHearDigest(const NodeId &from, std::string_view bytes) -> void
+auto DistributionService::didReceiveDigest(const NodeId &from, std::string_view bytes) -> void
 {
-    m_runner->didHearDigest(from, bytes);
+    m_runner->didReceiveDigest(from, bytes);
 }
 
 auto DistributionService::version() const -> std::uint64_t
 {
-    return m_runner->state().known().version();
+    return m_runner->state().current().version();
 }
 
 auto DistributionService::hash() const -> std::string
 {
-    return m_runner->state().known().hash();
+    return m_runner->state().current().hash();
 }
 
 auto DistributionService::isRelay() const -> bool
--- a/source/distribution/Messages.cpp
+++ b/source/distribution/Messages.cpp
@@ -22,7 +22,7 @@
     return {bytes.begin(), bytes.end()};
 }
 
-/// Datagrams and replies are arrays: names of fields would be a good part of their bytes.
+/// Returns changes as an array, as all datagrams and replies are, since names of fields would be a large part of their size.
 static auto changesJson(const Changes &changes) -> Json
 {
     auto changed = Json::object();
@@ -40,8 +40,8 @@
     return changes;
 }
 
-/// A proof that is further from its subscription than this is of no use, and its time could overflow.
-static constexpr auto MostSinceSubscription = Duration{3'600'000'000};
+/// Maximum distance of a proof from its subscription. A larger one is useless, and its time could overflow.
+static constexpr auto MaxSinceSubscription = Duration{3'600'000'000};
 
 static auto confirmationJson(const Confirmation &it) -> Json
 {
@@ -54,13 +54,13 @@
     result.subscription = json.at(0);
     result.version = json.at(1);
     result.sinceSubscription = Duration(json.at(2).get<Duration::rep>());
-    if (result.sinceSubscription > MostSinceSubscription
-        || result.sinceSubscription < -MostSinceSubscription)
-        throw InputError("a confirmation is of a time that cannot be", Remedy);
+    if (result.sinceSubscription > MaxSinceSubscription
+        || result.sinceSubscription < -MaxSinceSubscription)
+        throw InputError("a confirmation contains an impossible time", Remedy);
     return result;
 }
 
-/// Runs `read` on the decoded bytes; whatever is wrong with them becomes an InputError.
+/// Runs `read` on the decoded bytes and turns any error of the JSON library into an InputError.
 template <typename Read>
 static auto decodeWith(std::string_view bytes, Read read)
 {
--- a/source/distribution/WritePlan.cpp
+++ b/source/distribution/WritePlan.cpp
@@ -5,12 +5,12 @@
 
 namespace stairspur::distribution {
 
-static auto holds(const std::vector<std::string> &hashes, const std::string &hash) -> bool
+static auto contains(const std::vector<std::string> &hashes, const std::string &hash) -> bool
 {
     return std::ranges::find(hashes, hash) != hashes.end();
 }
 
-/// What the changes of `hashes` against the base are. Buckets that were not read are the same in both.
+/// Returns the changes from the base to `hashes`. Buckets that were not read are the same in both.
 static auto changeOf(const WriteBase &base, const config::SectionHashes &hashes,
                      const EncodedList &own) -> HeadChange
 {
@@ -20,7 +20,7 @@
             change.hashes[name] = "";
     }
     for (const auto &[blobHash, bytes] : own.blobs) {
-        if (blobHash == own.rootHash || holds(base.root.buckets, blobHash))
+        if (blobHash == own.rootHash || contains(base.root.buckets, blobHash))
             continue;
         for (const auto &[name, hash] : decodeBucket(bytes)) {
             const auto old = base.hashes.find(name);
@@ -31,7 +31,7 @@
     return change;
 }
 
-/// What nothing names from `version` on, and what was so before.
+/// Returns the hashes that are not named from the new version on, together with those retired before.
 static auto retiredSince(const WriteBase &base, const config::SectionHashes &hashes,
                          const EncodedList &own, const HeadChange &change)
         -> std::map<std::string, std::uint64_t>
@@ -54,7 +54,8 @@
     return retired;
 }
 
-/// Takes out of `retired` what has stayed long enough: it goes with the same write that moves the head.
+/// Removes from `retired` the values that have stayed long enough, and returns their deletions. They are deleted in the same
+/// write that changes the head.
 static auto takeDeletions(std::map<std::string, std::uint64_t> &retired, std::uint64_t version,
                           bool keepsRetired) -> std::vector<store::Operation>
 {
@@ -69,6 +70,7 @@
     return deletions;
 }
 
+/// Returns the writes of sections and buckets that the store lacks.
 static auto missingValues(const WriteBase &base, const PublishRequest &request,
                           const EncodedList &list, const HeadChange &change)
         -> std::vector<store::Operation>
@@ -79,10 +81,10 @@
             missing.push_back({.key = sectionKey(hash), .value = request.sections.at(name)});
     }
     for (const auto &[hash, bytes] : list.blobs) {
-        if (!holds(base.root.buckets, hash))
+        if (!contains(base.root.buckets, hash))
             missing.push_back({.key = sectionKey(hash), .value = bytes});
     }
-    // Sections of the same content have one key, which a transaction may write only once.
+    // Sections with the same content have the same key, which a transaction may write only once.
     std::ranges::sort(missing, {}, &store::Operation::key);
     const auto [first, last] = std::ranges::unique(missing, {}, &store::Operation::key);
     missing.erase(first, last);
@@ -107,11 +109,11 @@
     head.appliedAtMs = request.wallClockMs;
     head.applies = base.head.applies;
     head.applies.push_back({request.applyId, change.version});
-    keepLast(head.applies, RememberedApplies);
+    keepLast(head.applies, MaxRecordedApplies);
     head.changes = base.head.changes;
     if (change.hashes.size() <= MaxListedChange)
         head.changes.push_back(change);
-    keepLast(head.changes, RememberedChanges);
+    keepLast(head.changes, MaxRecordedChanges);
     return head;
 }
 
--- a/tests/distribution/TestWholeItem.cpp
+++ b/tests/distribution/TestWholeItem.cpp
@@ -27,7 +27,7 @@
     return item;
 }
 
-/// Hands an item to a node as its watch does, and carries out what the node asks for.
+/// Passes an item to a node as its watch does, and executes the node's reads of sections.
 static auto watchItem(DistributionState<> &state, const WholeItem &item) -> void
 {
     const auto split = splitWholeItem(item);
@@ -42,8 +42,8 @@
 {
     auto state = DistributionState<>("n", "north", {}, true, 1);
     watchItem(state, makeItem(7, 2));
-    cr_assert_eq(state.known().version(), 7);
-    const auto configuration = config::joinSections(state.known().sections());
+    cr_assert_eq(state.current().version(), 7);
+    const auto configuration = config::joinSections(state.current().sections());
     cr_assert_eq(configuration.routes.size(), 1);
     cr_assert_eq(configuration.routes[0].pathPrefix, "/v/");
     cr_assert_eq(configuration.routes[0].maxAttempts, 2);
@@ -56,11 +56,11 @@
     watchItem(state, makeItem(7, 2));
     watchItem(state, makeItem(12, 3));
     watchItem(state, makeItem(9, 4));
-    cr_assert_eq(state.known().version(), 12);
-    cr_assert_eq(config::joinSections(state.known().sections()).routes[0].maxAttempts, 3);
+    cr_assert_eq(state.current().version(), 12);
+    cr_assert_eq(config::joinSections(state.current().sections()).routes[0].maxAttempts, 3);
 }
 
-Test(WholeItem, allHostsGiveOneItemOneHash)
+Test(WholeItem, allHostsComputeTheSameHashOfAnItem)
 {
     cr_assert_eq(splitWholeItem(makeItem(7, 2)).head.hash,
                  splitWholeItem(makeItem(7, 2)).head.hash);
