--- a/include/stairspur/keyed/AnswerPayload.h
+++ b/include/stairspur/keyed/AnswerPayload.h
@@ -6,30 +6,30 @@
 #include <stairspur/keyed/KeyRecord.h>
 #include <stairspur/transport/CallMessages.h>
 
-/// Between calls as gates and entries know them and what is recorded of them.
+/// Conversions between the calls of gates and entries and the records of keyed calls.
 namespace stairspur::keyed {
 
-/// Tells two requests apart that come under one key: their method, target and body.
+/// Returns a hash of the request's method, target and body, by which two requests with the same key are told apart.
 auto fingerprintOf(const transport::CallRequest &request) -> std::uint64_t;
 
-/// What is recorded of an answer; its headers and body go into the payload.
+/// Returns the record of an answer. The answer's headers and body are encoded in the payload.
 auto toRecordedAnswer(const transport::CallAnswer &answer) -> RecordedAnswer;
 
-/// The answer that a record replays. One whose payload was not kept becomes `unknown` with Reason::TooLarge and the
-/// backend server's status in the header `Stairspur-Recorded-Status`: the caller learns that it ran, and how it ended.
-/// Throws InputError when the payload is damaged.
+/// Returns the answer that a record replays. If the payload was not kept, the answer is `unknown` with Reason::TooLarge
+/// and carries the backend server's status in the header `Stairspur-Recorded-Status`, so that the caller learns that
+/// the call ran and with which status it ended. Throws InputError if the payload is damaged.
 auto toCallAnswer(const RecordedAnswer &recorded) -> transport::CallAnswer;
 
 inline constexpr auto RecordedStatusHeader = std::string_view("Stairspur-Recorded-Status");
-/// Carries a Submit to the primary and its Reply back; never leaves the nodes.
+/// Header that carries a Submit to the primary and the Reply back. It is only used between nodes.
 inline constexpr auto KeyedHeader = std::string_view("Stairspur-Keyed");
 
-/// Several encoded messages as one.
+/// Encodes several encoded messages as one byte string.
 auto encodeMessages(const std::vector<std::string> &messages) -> std::string;
-/// Throws InputError.
+/// Returns the messages that encodeMessages() encoded. Throws InputError if `bytes` is malformed.
 auto decodeMessages(std::string_view bytes) -> std::vector<std::string>;
 
-/// Throws InputError on anything but pairs of hexadecimal digits.
+/// Decodes pairs of hexadecimal digits. Throws InputError for any other text.
 auto fromHex(std::string_view digits) -> std::string;
 
 } // namespace stairspur::keyed
--- a/include/stairspur/keyed/Effects.h
+++ b/include/stairspur/keyed/Effects.h
@@ -8,45 +8,46 @@
 
 namespace stairspur::keyed {
 
-/// Now, on both clocks: the monotonic one for timeouts, the wall clock for the age of keys.
+/// The current time on two clocks: the monotonic clock for timeouts, the wall clock for the age of keys.
 struct Instant
 {
     TimePoint steady;
     WallMilliseconds wall = 0;
 };
 
-/// Who waits for what becomes of a key.
+/// An attempt that waits for the outcome of a key.
 struct Waiter
 {
     NodeId entry;
-    std::uint64_t number = 0; ///< The entry's own number of its attempt.
+    std::uint64_t number = 0; ///< Number that the entry gave the attempt.
 
     auto operator<=>(const Waiter &) const = default;
 };
 
-/// A message to be sent.
+/// A message to send.
 struct Outgoing
 {
     Replica to;
     MessageBody body;
 };
 
-/// A call that may be dispatched now, once. The runtime reports how it ended with `didEnd`.
+/// A call to dispatch now, at most once. The runtime reports its result with `didEnd`.
 struct DispatchOrder
 {
     std::string key;
     UpdateId bind;
-    /// Any of them may give the request; the fingerprints are the same.
+    /// Attempts that wait for this call. Each can supply the request, since their fingerprints are equal.
     std::vector<Waiter> waiters;
 };
 
+/// A reply to deliver to one waiter.
 struct Delivery
 {
     Waiter waiter;
     Reply reply;
 };
 
-/// What a state machine wants done, in this order within each kind.
+/// Actions that a state machine requests. Those of one kind are carried out in the order of their list.
 struct Effects
 {
     std::vector<Outgoing> sends;
--- a/include/stairspur/keyed/KeyRecord.h
+++ b/include/stairspur/keyed/KeyRecord.h
@@ -11,9 +11,9 @@
 
 namespace stairspur::keyed {
 
-/// The place of an update in the history of a slot: updates of a greater epoch, or of a greater sequence number in the
-/// same epoch, are newer. What arrives late or twice is told by it (the sequence numbers of NFS version 4, paper section
-/// 9.4, do the same for locks).
+/// The position of an update in the history of a slot. An update of a greater epoch, or of a greater sequence number in
+/// the same epoch, is newer. Late and duplicate messages are recognised by it, as NFS version 4 does for locks with its
+/// sequence numbers (paper section 9.4).
 struct UpdateId
 {
     std::uint64_t epoch = 0;
@@ -22,36 +22,36 @@
     auto operator<=>(const UpdateId &) const = default;
 };
 
-/// What is known of a key.
+/// The recorded state of a key.
 enum class KeyState {
-    Bound,   ///< It may be running, or about to.
-    NotRun,  ///< No attempt so far has reached a backend server; it may be bound again.
-    Settled, ///< It ran, and its answer is recorded.
-    Unknown, ///< It may have run; nobody can say, and it never runs again.
+    Bound,   ///< The call may be running or about to run.
+    NotRun,  ///< No attempt so far has reached a backend server. The key may be bound again.
+    Settled, ///< The call ran, and its answer is recorded.
+    Unknown, ///< The call may have run, which can't be determined. It is never run again.
 };
 
-/// How a dispatched call ended.
+/// The recorded outcome of a dispatched call.
 struct RecordedAnswer
 {
     Outcome outcome = Outcome::Unknown;
     Reason reason = Reason::None;
     std::uint32_t status = 0; ///< The backend server's HTTP status.
-    std::string payload{};    ///< The encoded answer, for replay.
-    /// False: it was larger than records may hold, and `payload` is empty.
+    std::string payload{};    ///< The encoded answer, used for replay.
+    /// False if the answer exceeded RecordSettings::maxPayloadBytes; `payload` is then empty.
     bool isPayloadKept = true;
 
     auto operator==(const RecordedAnswer &) const -> bool = default;
 };
 
-/// One key, as both members of a pair hold it.
+/// The record of one key, which both the primary and the witness store.
 struct KeyRecord
 {
     std::string key;
-    std::uint64_t fingerprint = 0; ///< Hash of the request that first came under the key.
+    std::uint64_t fingerprint = 0; ///< Hash of the first request with this key.
     KeyState state = KeyState::Bound;
-    UpdateId bind{};          ///< The binding under which it may be running.
-    UpdateId update{};        ///< The newest update that this record holds.
-    std::uint64_t ticket = 0; ///< Counts the `not-run` statements made of the key.
+    UpdateId bind{};          ///< The binding under which the call may be running.
+    UpdateId update{};        ///< The newest update that is included in this record.
+    std::uint64_t ticket = 0; ///< Number of `not-run` replies sent for the key.
     WallMilliseconds recordedAt = 0;
     RecordedAnswer answer{};
 };
--- a/include/stairspur/keyed/KeyedMessages.h
+++ b/include/stairspur/keyed/KeyedMessages.h
@@ -11,10 +11,10 @@
 #include <stairspur/keyed/KeyRecord.h>
 #include <stairspur/keyed/PlacementTable.h>
 
-/// What entries, primaries and witnesses tell each other, over the peer links' topic `keyed`.
+/// Messages between entries, primaries and witnesses, sent over the peer links with the topic `keyed`.
 namespace stairspur::keyed {
 
-/// Primary to witness: a record in its newest state.
+/// Primary to witness: the current state of a record.
 struct RecordUpdate
 {
     std::uint64_t epoch = 0;
@@ -28,24 +28,24 @@
     std::string key{};
 };
 
-/// Witness to primary: not recorded, since the epoch is over, sealed or unknown here.
+/// Witness to primary: the update is not recorded, since the witness has left, sealed or not reached the epoch.
 struct RecordRefusal
 {
     UpdateId update{};
-    SlotPlacement placement; ///< The newest one known to the witness.
+    SlotPlacement placement; ///< The newest placement that the witness has received.
 };
 
-/// Tells a placement that has been written to the store.
+/// Announces a placement that has been written to the store.
 struct PlacementNotice
 {
     SlotPlacement placement;
 };
 
-/// The records of a slot, sent to those who shall hold it in `proposed.epoch`, before that epoch is written.
+/// The records of a slot, sent to its members in `proposed.epoch` before that epoch is written.
 struct SnapshotOffer
 {
     SlotPlacement proposed;
-    /// Of two offers for one epoch from one source, the greater is newer.
+    /// Orders the offers of one source for one epoch; the greater number is newer.
     std::uint64_t sequence = 0;
     WallMilliseconds lowWater = 0;
     WallMilliseconds lostAt = 0;
@@ -53,15 +53,15 @@
     std::vector<KeyRecord> records{};
 };
 
-/// The offer with this epoch and sequence is held whole.
+/// Acknowledges that the offer with this epoch and sequence number is stored completely.
 struct SnapshotAccept
 {
     std::uint64_t epoch = 0;
     std::uint64_t sequence = 0;
 };
 
-/// A former primary to the present one: how a call ended that it had dispatched in an earlier epoch; `not-run` when that
-/// is proven, so that the key may be bound again.
+/// Former primary to current primary: the outcome of a call that it dispatched in an earlier epoch. The outcome is
+/// `not-run` if that is proven, so that the key may be bound again.
 struct LateOutcome
 {
     std::string key{};
@@ -69,13 +69,14 @@
     RecordedAnswer answer{};
 };
 
+/// Current primary to former primary: the late outcome is received.
 struct LateAccept
 {
     std::string key{};
     UpdateId bind{};
 };
 
-/// Entry to witness: what is recorded under the key? Changes nothing.
+/// Entry to witness: requests the record of the key without changing it.
 struct Lookup
 {
     std::uint64_t waiter = 0;
@@ -83,11 +84,11 @@
     std::uint64_t fingerprint = 0;
 };
 
-/// Entry to primary: run the call under this key, at most once; or, with `isQuery`, promise that no earlier attempt
-/// will run it, or tell what became of it.
+/// Entry to primary: requests that the call with this key is run at most once. With `isQuery` it requests the outcome
+/// of the key, or a guarantee that no earlier attempt will run it.
 struct Submit
 {
-    std::uint64_t waiter = 0; ///< The entry's own number of this attempt.
+    std::uint64_t waiter = 0; ///< Number that the entry gave this attempt.
     std::string key{};
     std::uint64_t fingerprint = 0;
     std::uint64_t epoch = 0;
@@ -97,12 +98,12 @@
 };
 
 enum class ReplyKind {
-    Settled,   ///< `answer` is what became of the key.
-    Challenge, ///< A `not-run` was said of this key: repeat with `ticket` if the caller still waits.
-    Moved,     ///< Not this node, or not this epoch; `placement` is the newest one known here.
+    Settled, ///< `answer` is the outcome of the key.
+    Challenge, ///< `not-run` was reported for this key; repeat with `ticket` if the caller still waits.
+    Moved,     ///< Wrong node or epoch; `placement` is the newest one that the sender has received.
 };
 
-/// To an entry.
+/// Primary or witness to entry: the reply to a Submit or a Lookup.
 struct Reply
 {
     std::uint64_t waiter = 0;
@@ -114,11 +115,11 @@
     std::optional<SlotPlacement> placement{};
 };
 
-/// Entry to any node of a service: which table do you know?
+/// Entry to any node of a service: requests the newest placement table of that node.
 struct TableRequest
 {};
 
-/// The newest table that the sender knows.
+/// The newest placement table that the sender has received.
 struct TableNotice
 {
     PlacementTable table;
@@ -128,21 +129,21 @@
                                  SnapshotOffer, SnapshotAccept, LateOutcome, LateAccept, Lookup,
                                  Submit, Reply, TableRequest, TableNotice>;
 
-/// A message and whom it concerns.
+/// A message with its slot, sender and recipient.
 struct Message
 {
     std::string service;
     std::string domain;
     std::uint32_t slot = 0;
     Replica from;
-    Replica to; ///< A session of 0 means whichever session lives.
+    Replica to; ///< A session of 0 addresses the current process instance.
     MessageBody body;
 };
 
-/// Compact CBOR: an array of fields in their order.
+/// Encodes a message as a CBOR array of its fields in their declared order.
 auto encodeMessage(const Message &message) -> std::string;
 
-/// Throws InputError when `bytes` is not a message.
+/// Returns the message encoded in `bytes`. Throws InputError if `bytes` is not a message.
 auto decodeMessage(std::string_view bytes) -> Message;
 
 } // namespace stairspur::keyed
--- a/include/stairspur/keyed/KeyedRoute.h
+++ b/include/stairspur/keyed/KeyedRoute.h
@@ -11,14 +11,16 @@
 
 namespace stairspur::keyed {
 
-/// The newest placement tables that an entry knows. Being behind costs a detour, never safety.
+/// The newest placement tables that an entry has received. An outdated table costs extra messages but is safe.
 class TableCache
 {
 public:
+    /// Returns the cached table, or null if there is none.
     [[nodiscard]] auto find(const std::string &service, const std::string &domain) const
             -> const PlacementTable *;
-    /// Takes over every slot of which `table` has a newer epoch.
+    /// Replaces every slot for which `table` has a newer epoch.
     auto merge(const PlacementTable &table) -> void;
+    /// Replaces the placement of one slot if `placement` has a newer epoch.
     auto merge(const std::string &service, const std::string &domain, std::uint32_t slot,
                const SlotPlacement &placement) -> void;
 
@@ -26,14 +28,16 @@
     std::map<std::pair<std::string, std::string>, PlacementTable> m_tables;
 };
 
+/// The next step of a KeyedRoute, which its owner carries out.
 enum class RouteStep {
-    SendSubmit, ///< Send `submit` to `target`; report didReply or didLoseLink.
-    SendLookup, ///< Ask the witness `target`; report didReply or didLoseLink.
-    FetchTable, ///< Ask some node of the home domain; report didFetch.
+    SendSubmit, ///< Send `submit` to `target`, then call didReply or didLoseLink.
+    SendLookup, ///< Send a Lookup to the witness `target`, then call didReply or didLoseLink.
+    FetchTable, ///< Request the table from a node of the home domain, then call didFetch.
     Wait,       ///< Call didWait after `delay`.
-    Finish,     ///< `answer` is for the caller.
+    Finish,     ///< Return `answer` to the caller.
 };
 
+/// A step and its parameters.
 struct RouteAction
 {
     RouteStep step = RouteStep::Finish;
@@ -44,46 +48,53 @@
     RecordedAnswer answer{};
     bool isReplay = false;
     Duration retryAfter{0};
-    std::optional<PlacementNotice> notice{}; ///< For `target`, which is behind.
+    std::optional<PlacementNotice>
+            notice{}; ///< Newer placement for `target`, which has an older one.
 };
 
 struct RouteSettings
 {
-    std::uint32_t maxSteps = 80;  ///< Of one attempt; it is answered `unknown` after them.
-    Duration retryDelay{100'000}; ///< Before asking again, with jitter between half and the whole.
-    Duration retryAfter{1'000'000}; ///< Told with `unknown`.
+    std::uint32_t maxSteps = 80; ///< Steps of one attempt, after which it is answered `unknown`.
+    Duration retryDelay{
+            100'000}; ///< Upper bound of the delay before a repeated request; the lower bound is half of it.
+    Duration retryAfter{1'000'000}; ///< Retry delay that is sent with `unknown`.
 };
 
-/// What a call under a key is, as its entry sees it.
+/// A call with an idempotency key at its entry.
 struct KeyedCall
 {
     std::string service;
     std::string home{};
-    std::string key{}; ///< As scopedKey() makes it.
+    std::string key{}; ///< Key that scopedKey() returned.
     std::uint64_t fingerprint = 0;
     bool isHomeExplicit = false;
     bool isQuery = false;
 };
 
-/// One attempt of one caller at a keyed call, seen from its entry: finds the primary, follows it when it moves, asks the
-/// witness when the primary is lost. It never has a call dispatched anew by itself: whatever it sends again, the primary
-/// recognises. Only the primary says `not-run`; what the entry can't find out is `unknown`.
+/// State machine of one attempt at a keyed call, run by the entry. It finds the primary, follows it when the slot moves
+/// and queries the witness when the primary can't be reached. A repeated Submit never causes a second dispatch, since
+/// the primary recognises it. Only the primary reports `not-run`; an outcome that the entry can't determine is
+/// `unknown`.
 ///
-/// Feed it until it says Finish. After the caller's deadline, or when the caller is gone, call giveUp() and nothing else:
-/// that no step follows then is what makes a later `not-run` true.
+/// The owner carries out each action and reports its result until the step is Finish. After the caller's deadline, or
+/// when the caller has cancelled, it must call giveUp() and nothing else: a later `not-run` is only true if no step
+/// follows.
 class KeyedRoute
 {
 public:
     KeyedRoute(KeyedCall call, std::uint64_t waiter, RouteSettings settings, TableCache &tables);
 
+    /// Returns the first action.
     auto start() -> RouteAction;
+    /// Handles a reply of the primary or the witness.
     auto didReply(const Reply &reply, Random &random) -> RouteAction;
-    /// The link to the action's target is lost, or could not be opened.
+    /// Handles the loss of the link to the action's target, or the failure to open it.
     auto didLoseLink(Random &random) -> RouteAction;
-    /// The fetched table has been merged into the cache, or none could be had.
+    /// Continues after a table was merged into the cache or could not be fetched.
     auto didFetch(Random &random) -> RouteAction;
+    /// Continues after the delay of a Wait action.
     auto didWait() -> RouteAction;
-    /// `unknown`, with `reason`.
+    /// Returns the action that ends the attempt as `unknown` with `reason`.
     [[nodiscard]] auto giveUp(Reason reason) const -> RouteAction;
 
     [[nodiscard]] auto call() const -> const KeyedCall & { return m_call; }
@@ -103,7 +114,7 @@
     std::uint32_t m_steps = 0;
     std::uint64_t m_ticket = 0;
     bool m_isLookingUp = false;
-    bool m_shouldFetch = false; ///< The table looks outdated.
+    bool m_shouldFetch = false; ///< Whether the cached table may be outdated.
     std::optional<PlacementNotice> m_notice;
 };
 
--- a/include/stairspur/keyed/KeyedRouter.h
+++ b/include/stairspur/keyed/KeyedRouter.h
@@ -14,13 +14,13 @@
 
 struct KeyedRouterSettings
 {
-    Replica own;
+    Replica own; ///< This node and its process instance.
     RouteSettings route;
-    Duration peerTimeout{500'000};
+    Duration peerTimeout{500'000}; ///< Timeout of a request to another node.
 };
 
-/// The entry's side of keyed calls: sends each to the primary of its key's slot and follows it when that moves. Belongs to
-/// the thread of its io_context. The peers must outlive it.
+/// The entry's side of keyed calls. It sends each call to the primary of its key's slot and follows the slot when it
+/// moves. It must be used only on the thread of its io_context, and the peers must outlive it.
 template <KeyedPeers Peers>
 class KeyedRouter
 {
@@ -31,19 +31,19 @@
     auto setMembers(std::shared_ptr<const membership::MembershipView> view) -> void;
     auto setConfiguration(config::ConfigurationPtr configuration) -> void;
 
-    /// Has a call with an idempotency key run at most once and gives the whole answer; never later than the call's
-    /// remaining time. With `isQuery` nothing runs: the answer tells what became of the key, or `not-run` as a promise
-    /// that no earlier attempt will run it. An entry that refuses a keyed call asks this first, since it cannot know
-    /// by itself whether an earlier attempt ran.
+    /// Runs a call with an idempotency key at most once and returns the complete response, at the latest when the
+    /// call's remaining time has elapsed. With `isQuery` the call is not run: the answer is the outcome of the key, or
+    /// `not-run` as a guarantee that no earlier attempt will run it. An entry that refuses a keyed call sends such a
+    /// query first, since it can't determine by itself whether an earlier attempt ran.
     auto route(transport::CallRequest request, transport::CancellationPtr cancellation,
                bool isQuery = false) -> transport::Task<transport::CallAnswer>;
 
-    /// The node that is primary for the key, as far as known here; empty when it is not.
+    /// Returns the primary of the key according to the cached tables, or an empty id if no table is cached.
     [[nodiscard]] auto resolve(const std::string &service, const std::string &key,
                                const std::string &caller) const -> NodeId;
 
 private:
-    /// One call on its way.
+    /// A call that is being routed.
     struct Journey
     {
         transport::CallRequest request;
--- a/include/stairspur/keyed/KeyedRouterCode.h
+++ b/include/stairspur/keyed/KeyedRouterCode.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The member functions of KeyedRouter, for who instantiates it with peers.
+// Member functions of KeyedRouter, to be included where it is instantiated.
 
 #include <algorithm>
 #include <utility>
@@ -85,7 +85,7 @@
                            KeyedRoute(std::move(call), ++m_lastWaiter, m_settings.route, m_tables)};
     auto action = journey.route.start();
     while (action.step != RouteStep::Finish) {
-        // No step after the deadline or for a caller that is gone: a later `not-run` relies on it.
+        // No step may follow the deadline or the caller's cancellation, since a later `not-run` relies on that.
         if (journey.cancellation && journey.cancellation->isCancelled())
             action = journey.route.giveUp(Reason::Cancelled);
         else if (monotonicNow() >= journey.deadline)
--- a/include/stairspur/keyed/KeyedService.h
+++ b/include/stairspur/keyed/KeyedService.h
@@ -28,7 +28,7 @@
 
 namespace stairspur::keyed {
 
-/// What keyed calls need of the platform's store: a part of store::PlatformStore.
+/// The part of store::PlatformStore that keyed calls use.
 template <typename Store>
 concept PlacementStore =
         requires(Store &store, store::RangeRequest range, store::Transaction transaction) {
@@ -40,7 +40,7 @@
             } -> std::same_as<transport::Task<store::StoreResult<store::WriteAnswer>>>;
         };
 
-/// What keyed calls need of the links to other nodes: a part of transport::PeerClient.
+/// The part of transport::PeerClient that keyed calls use.
 template <typename Peers>
 concept KeyedPeers =
         requires(Peers &peers, NodeId node, transport::CallRequest request,
@@ -53,29 +53,31 @@
             } -> std::same_as<transport::Task<std::string>>;
         };
 
+/// Topic of the control requests that carry keyed messages.
 inline constexpr auto KeyedTopic = "keyed";
 
 struct KeyedServiceSettings
 {
-    Replica own; ///< The session is the node's start incarnation, the one that membership tells.
+    Replica own; ///< This node; the session is the start incarnation that membership publishes.
     std::string domain; ///< This node's failure domain.
     KeeperSettings keeper;
-    Duration tickInterval{100'000};
-    Duration peerTimeout{1'000'000};
+    Duration tickInterval{100'000};  ///< Time between two ticks of the keepers.
+    Duration peerTimeout{1'000'000}; ///< Timeout of a request to another node.
     ReachabilitySettings reachability;
 };
 
-/// Milliseconds of this host's wall clock.
+/// Returns the time of this host's wall clock in milliseconds since the Unix epoch.
 auto wallNow() -> WallMilliseconds;
 
-/// The gate's side of keyed calls: runs the slots that this node holds, for its own service and as a witness for others
-/// of its domain. Belongs to the thread of its io_context. Peers and store must outlive it.
+/// The gate's side of keyed calls. It runs the slots of which this node is a member, for its own service and as a
+/// witness for other services of its failure domain. It must be used only on the thread of its io_context. The peers
+/// and the store must outlive it.
 template <PlacementStore Store, KeyedPeers Peers>
 class KeyedService
 {
 public:
-    /// Has a call executed, once: by the node's own gate or another of the service. A `not-run` without wasDispatched
-    /// has to be proven; only that lets the key be bound again.
+    /// Executes a call once, at this node's gate or another gate of the service. A `not-run` answer without
+    /// wasDispatched must be proven, since the key may then be bound again.
     using DispatchFunction = std::function<transport::Task<transport::CallAnswer>(
             transport::CallRequest, transport::CancellationPtr)>;
 
@@ -87,31 +89,37 @@
     auto operator=(const KeyedService &) -> KeyedService & = delete;
     auto operator=(KeyedService &&) -> KeyedService & = delete;
 
+    /// Starts the periodic ticks.
     auto start() -> void;
+    /// Stops the ticks and makes running coroutines ignore their results.
     auto stop() -> void;
 
-    /// The newest view; this node must be in it.
+    /// Sets the current membership view, which must contain this node.
     auto setMembers(std::shared_ptr<const membership::MembershipView> view) -> void;
+    /// Sets the configuration in force and records a change of the keys' home domains.
     auto setConfiguration(config::ConfigurationPtr configuration) -> void;
 
-    /// A keyed call that an entry's KeyedRouter sent here. One that carries no KeyedHeader is refused.
+    /// Handles a keyed call that an entry's KeyedRouter sent. A call without a valid KeyedHeader is refused.
     auto handle(transport::CallRequest request, transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
 
-    /// A control request of the topic `keyed`.
+    /// Handles a control request of the topic `keyed` and returns the encoded replies. Throws InputError if `payload`
+    /// is malformed.
     auto handleRequest(NodeId from, std::string payload) -> transport::Task<std::string>;
 
-    /// An operator vouches that the process of `node` is gone for good: its slots may be placed anew.
+    /// Records an operator's confirmation that the process of `node` has terminated for good, so that its slots may be
+    /// assigned to other nodes.
     auto confirmGone(const NodeId &node) -> void;
 
-    /// Whether this node may end: it holds no slot, no keyed call runs, and every outcome is reported.
+    /// Returns whether this node may exit: it is a member of no slot, no keyed call runs and every outcome is reported.
     [[nodiscard]] auto isDrained() const -> bool;
+    /// Returns the number of records of all slots.
     [[nodiscard]] auto records() const -> std::size_t;
 
 private:
     using Keeper = PlacementKeeper<StandardGuards>;
 
-    /// A call that waits for its reply.
+    /// A call that waits for the reply of its slot.
     struct Call
     {
         Call(boost::asio::io_context &io, transport::CallRequest callRequest, TimePoint until)
@@ -129,7 +137,7 @@
 
     auto tick() -> void;
     auto probeSilentPeers() -> void;
-    /// An entry asks this witness about a key: it has lost the primary, or the primary has lost it.
+    /// Suspects the primary of the slot, since an entry that sends a Lookup to its witness can't reach the primary.
     auto suspectPrimaryOf(const Message &lookup) -> void;
     auto didHear(const NodeId &node) -> void;
     auto didLose(const NodeId &node) -> void;
@@ -165,16 +173,16 @@
     std::unordered_map<std::uint64_t, std::shared_ptr<Call>> m_calls;
     std::uint64_t m_lastCall = 0;
     std::shared_ptr<const membership::MembershipView> m_view;
-    /// By service, made from the view when first asked for.
+    /// Members by service, computed from the view on first use.
     std::map<std::string, std::vector<PlacementMember>> m_members;
     config::ConfigurationPtr m_configuration;
     HomeChanges m_homes;
     std::set<NodeId> m_confirmedGone;
     PeerReachability m_reachability;
-    /// Where messages to the sender of the request in hand go: into its reply.
+    /// Messages to the sender of the current control request, which are sent in its reply; null outside of a request.
     std::vector<std::string> *m_replies = nullptr;
     NodeId m_requester;
-    /// False once this is gone; coroutines ask before they touch it.
+    /// False after stop() or destruction. Coroutines check it before they access this object.
     std::shared_ptr<bool> m_isRunning = std::make_shared<bool>(true);
 };
 
--- a/include/stairspur/keyed/KeyedServiceCode.h
+++ b/include/stairspur/keyed/KeyedServiceCode.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The member functions of KeyedService, for who instantiates it with a store and peers.
+// Member functions of KeyedService, to be included where it is instantiated.
 
 #include <chrono>
 #include <utility>
@@ -134,8 +134,9 @@
     const auto *known =
             m_configuration ? m_configuration->configuration.findService(service) : nullptr;
     if (!known)
-        throw InputError("service " + service + " is not in the configuration in force here",
-                         "wait until the newest configuration has come to this node");
+        throw InputError("service " + service
+                                 + " is not in the configuration in force on this node",
+                         "wait until this node has received the newest configuration");
     auto settings = m_settings.keeper;
     settings.slot.records.keyLifetime =
             static_cast<WallMilliseconds>(toMilliseconds(known->keyLifetime));
@@ -270,7 +271,7 @@
     try {
         for (const auto &it : messages) {
             auto message = decodeMessage(it);
-            message.from.node = from; // A link proves who its other end is.
+            message.from.node = from; // The link authenticates its remote node.
             didHear(from);
             receive(message);
         }
@@ -286,7 +287,7 @@
 auto KeyedService<Store, Peers>::receive(const Message &message) -> void
 {
     auto effects = KeeperEffects();
-    // A Submit comes as a call, with its request.
+    // A Submit arrives only as a call together with its request, see handle().
     if (message.domain != m_settings.domain || std::holds_alternative<Submit>(message.body))
         return;
     if (std::holds_alternative<Lookup>(message.body))
--- a/include/stairspur/keyed/KeyedServiceEffects.h
+++ b/include/stairspur/keyed/KeyedServiceEffects.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The member functions of KeyedService that carry out what the keepers want done.
+// Member functions of KeyedService that apply the effects of the keepers.
 
 #include <algorithm>
 #include <utility>
@@ -53,7 +53,7 @@
                 self->receive(answer);
             }
         } catch (const Error &e) {
-            // Whoever sent it sends it again by its own timer.
+            // The state machine that sent the message resends it after its own timeout.
             if (*isRunning)
                 self->didLose(to);
             log::Line(log::Severity::Debug, "keyed-message-lost")
@@ -105,7 +105,7 @@
                        transport::CallRequest call) -> transport::Task<void> {
             auto ended = DispatchEnd();
             try {
-                // Not the waiter's cancellation: a caller that comes back shall find the answer.
+                // The call is not bound to the waiter's cancellation, so that a caller that retries finds the answer.
                 const auto answer = co_await self->m_dispatch(
                         std::move(call), std::make_shared<transport::Cancellation>());
                 ended.didNotRun = answer.outcome == Outcome::NotRun && !answer.wasDispatched;
@@ -237,7 +237,7 @@
     m_reachability.suspect(slots[lookup.slot].primary.node, monotonicNow());
 }
 
-/// Asks the nodes that did not answer for their tables, which any node gives: a sign of life.
+/// Requests the table of each node that did not answer. Every node answers that request, which shows that it is alive.
 template <PlacementStore Store, KeyedPeers Peers>
 auto KeyedService<Store, Peers>::probeSilentPeers() -> void
 {
--- a/include/stairspur/keyed/PrimarySlot.h
+++ b/include/stairspur/keyed/PrimarySlot.h
@@ -11,37 +11,39 @@
 
 namespace stairspur::keyed {
 
-/// How far a key is that this node works on.
+/// Progress of a key that this node is processing.
 enum class PendingStage {
-    AwaitingAck, ///< The witness hasn't acknowledged the binding: nothing has been dispatched.
-    Running,     ///< Dispatched.
-    AwaitingNotRunAck, ///< It did not run; the witness hasn't acknowledged that yet.
+    AwaitingAck, ///< The witness hasn't acknowledged the binding, and nothing has been dispatched.
+    Running,     ///< The call has been dispatched.
+    AwaitingNotRunAck, ///< The call did not run, and the witness hasn't acknowledged that yet.
 };
 
-/// A key that this node works on. Outlives the epoch it began in: a call that runs is ended whole.
+/// A key that this node is processing. A running call outlives the epoch in which it was dispatched, so that its
+/// outcome is not lost.
 struct PendingKey
 {
     PendingStage stage = PendingStage::AwaitingAck;
     UpdateId bind;
-    UpdateId update; ///< Whose acknowledgement is awaited.
+    UpdateId update; ///< The update whose acknowledgement is awaited.
     std::uint64_t fingerprint = 0;
-    std::uint64_t ticket = 0; ///< Of the record when it was bound.
+    std::uint64_t ticket = 0; ///< Ticket of the record at the time of the binding.
     Reason notRunReason = Reason::None;
     std::vector<Waiter> waiters;
-    TimePoint lastSent;
-    TimePoint waitingSince;
+    TimePoint lastSent;     ///< Time of the last update to the witness.
+    TimePoint waitingSince; ///< Time since which the waiters wait for the witness.
 };
 
-/// How a dispatched call ended.
+/// The result of a dispatched call.
 struct DispatchEnd
 {
-    bool didNotRun = false; ///< Proven: it reached no backend server, nor can it.
-    /// Otherwise: Answered, Failed or Unknown. With didNotRun only the reason counts.
+    bool didNotRun =
+            false; ///< Whether it is proven that the call reached no backend server and never will.
+    /// The answer, with the outcome Answered, Failed or Unknown. With didNotRun only its reason is used.
     RecordedAnswer answer;
 };
 
-/// The primary's part of a slot: binds each key with the witness, has it dispatched once, records and replays how it
-/// ended. Given a guard policy so that tests can show what each guard is for.
+/// The primary's part of a slot. It binds each key at the witness, dispatches its call once, records the answer and
+/// replays it. The guards are a template parameter so that tests can disable each of them.
 template <typename Guards = StandardGuards>
 class PrimarySlot
 {
@@ -50,40 +52,44 @@
         : m_state(state)
     {}
 
-    /// An entry's call or query.
+    /// Handles a call or a query of an entry.
     auto submit(const Waiter &waiter, const Submit &submit, Instant now, Effects &effects) -> void;
 
-    /// Nobody waits under `waiter` any more. A binding that has not been dispatched is then given up.
+    /// Removes `waiter`. A binding without waiters is not dispatched but recorded as `not-run`.
     auto cancel(const Waiter &waiter) -> void;
 
-    /// The call dispatched for `bind` has ended.
+    /// Records the result of the call that was dispatched for `bind`.
     auto didEnd(const std::string &key, UpdateId bind, const DispatchEnd &end, Instant now,
                 Effects &effects) -> void;
 
+    /// Handles the acknowledgement of an update by the witness.
     auto didReceiveAck(const Replica &from, const RecordAck &ack, Instant now, Effects &effects)
             -> void;
 
-    /// The call `bind` ended under its former primary.
+    /// Records the outcome of the call `bind`, which a former primary dispatched.
     auto didReceiveLateOutcome(const Replica &from, const LateOutcome &late, Instant now,
                                Effects &effects) -> void;
+    /// Removes the late outcome that the current primary has received.
     auto didReceiveLateAccept(const LateAccept &accept) -> void;
 
-    /// Sends again what is unacknowledged; answers waiters whose witness stays silent.
+    /// Resends unacknowledged messages and answers waiters when the witness has not answered in time.
     auto tick(Instant now, Effects &effects) -> void;
 
-    /// A new epoch with this node as primary: its unfinished work goes on with the new witness.
+    /// Continues the unfinished work with the new witness after an epoch began with this node as primary.
     auto resume(Instant now, Effects &effects) -> void;
-    /// A new epoch with another primary: what was not dispatched never will be, what runs will be reported.
+    /// Ends the work of this primary after an epoch began with another one. Undispatched keys are dropped, and the
+    /// outcomes of running calls are reported to the new primary.
     auto retire(Instant now, Effects &effects) -> void;
 
-    /// Whether the key is bound here, and certain not to have been dispatched.
+    /// Returns whether the key is bound here and is certain not to have been dispatched.
     [[nodiscard]] auto isUndispatched(const std::string &key) const -> bool;
-    /// Calls dispatched from here that have not ended.
+    /// Returns the number of calls that were dispatched here and have not ended.
     [[nodiscard]] auto running() const -> std::size_t;
-    /// Outcomes that the present primary has not accepted yet.
+    /// Returns the number of outcomes that the current primary has not accepted yet.
     [[nodiscard]] auto unreported() const -> std::size_t { return m_late.size(); }
 
 private:
+    /// An outcome that is sent to the current primary until it accepts it.
     struct LateReport
     {
         LateOutcome outcome;
@@ -99,11 +105,12 @@
     auto bind(const Waiter &waiter, const Submit &submit, std::uint64_t ticket, Instant now,
               Effects &effects) -> void;
     auto dispatch(const std::string &key, PendingKey &pending, Effects &effects) -> void;
-    /// The dispatched call is proven not to have run.
+    /// Reports `not-run` for a dispatched call that is proven not to have run.
     auto release(const std::string &key, const PendingKey &pending, Reason reason, Instant now,
                  Effects &effects) -> void;
+    /// Stores and returns the record of a key that did not run.
     auto recordNotRun(const std::string &key, const PendingKey &pending, Instant now) -> KeyRecord;
-    /// Says `not-run` of a key that was not dispatched here, once the witness has acknowledged that.
+    /// Reports `not-run` for a key that was not dispatched here, after the witness has acknowledged that.
     auto stateNotRun(const std::string &key, PendingKey &pending, Reason reason, Instant now,
                      Effects &effects) -> void;
     auto settle(const std::string &key, const PendingKey &pending, const RecordedAnswer &answer,
@@ -121,9 +128,9 @@
 
     SlotState &m_state;
     std::map<std::string, PendingKey> m_pending;
-    /// Outcomes that the witness has not acknowledged yet, by key.
+    /// Keys whose outcome the witness has not acknowledged yet, with the time of the last update.
     std::map<std::string, TimePoint> m_unacknowledged;
-    std::map<std::string, LateReport> m_late;
+    std::map<std::string, LateReport> m_late; ///< Reports to the current primary, by key.
 };
 
 } // namespace stairspur::keyed
--- a/include/stairspur/keyed/PrimarySlotCode.h
+++ b/include/stairspur/keyed/PrimarySlotCode.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The member functions of PrimarySlot, for who instantiates it with other guards.
+// Member functions of PrimarySlot, to be included where it is instantiated with other guards.
 
 #include <algorithm>
 #include <cassert>
@@ -32,13 +32,13 @@
                                         const Submit &submit, Instant now, Effects &effects) -> void
 {
     if (Guards::FingerprintIsChecked && pending.fingerprint != submit.fingerprint) {
-        // Only a record that the witness holds too proves that the other request can't run under this key.
+        // Only a record that the witness has stored too proves that the different request can't run with this key.
         if (pending.stage == PendingStage::Running)
             return refuse(waiter, Outcome::NotRun, Reason::BadRequest, UnprocessableContent,
                           effects);
         return refuse(waiter, Outcome::Unknown, Reason::KeyInProgress, 0, effects);
     }
-    // An attempt that was told `not-run` must not be the one for which the key is dispatched after all.
+    // A key must not be dispatched for an attempt that has received `not-run` already.
     const auto isStale =
             pending.stage == PendingStage::AwaitingAck && submit.ticket != pending.ticket;
     if (Guards::StaleSubmitsAreChallenged && isStale)
@@ -178,8 +178,8 @@
 auto PrimarySlot<Guards>::release(const std::string &key, const PendingKey &pending, Reason reason,
                                   Instant now, Effects &effects) -> void
 {
-    // The witness has acknowledged the binding: whoever takes over holds the key for one that may have run, and won't
-    // run it. So this is true without another acknowledgement.
+    // The witness has acknowledged the binding, so a primary that takes over treats the key as one that may have run
+    // and won't run it. `not-run` is therefore true without another acknowledgement.
     for (const auto &waiter : pending.waiters)
         refuse(waiter, Outcome::NotRun, reason, 0, effects);
     if (!m_state.isPrimary() || !m_state.hasRecords) {
--- a/include/stairspur/keyed/PrimarySlotEpochs.h
+++ b/include/stairspur/keyed/PrimarySlotEpochs.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The member functions of PrimarySlot that send again and that carry work from one epoch into the next.
+// Member functions of PrimarySlot that resend messages and continue work across epochs.
 
 #include <cassert>
 #include <utility>
@@ -15,7 +15,7 @@
         -> void
 {
     if (answer.outcome == Outcome::Unknown)
-        return; // Whoever answers for the key says `unknown` already.
+        return; // The current primary already answers `unknown` for the key.
     auto outcome = LateOutcome{key, bind, answer};
     if (!m_state.placement.primary.isNone() && m_state.placement.primary != m_state.own)
         effects.sends.push_back({m_state.placement.primary, outcome});
@@ -89,7 +89,7 @@
     const auto interval = m_state.settings.resendInterval;
     for (auto it = m_unacknowledged.begin(); it != m_unacknowledged.end();) {
         const auto *record = m_state.records.find(it->first);
-        if (!record) { // Forgotten meanwhile.
+        if (!record) { // The record has expired meanwhile.
             it = m_unacknowledged.erase(it);
             continue;
         }
--- a/include/stairspur/keyed/RecordTable.h
+++ b/include/stairspur/keyed/RecordTable.h
@@ -12,16 +12,16 @@
 
 namespace stairspur::keyed {
 
-/// Limits of what a replica remembers.
+/// Limits of the records that a replica keeps.
 struct RecordSettings
 {
-    WallMilliseconds keyLifetime = 600'000; ///< How long callers may retry a key.
-    WallMilliseconds clockMargin = 30'000;  ///< Greatest skew between any two hosts' clocks.
-    std::size_t maxRecords = 65'536;        ///< In one slot; new keys are refused beyond.
-    std::size_t maxPayloadBytes = 16'384;   ///< Larger answers are recorded without their payload.
+    WallMilliseconds keyLifetime = 600'000; ///< Time during which callers may retry a key.
+    WallMilliseconds clockMargin = 30'000;  ///< Maximum skew between the clocks of any two hosts.
+    std::size_t maxRecords = 65'536; ///< Maximum of one slot, beyond which new keys are refused.
+    std::size_t maxPayloadBytes = 16'384; ///< Larger answers are recorded without their payload.
 };
 
-/// The records of one slot, and the marks below which a key that has no record may have run all the same.
+/// The records of one slot, and the times before which a key without a record may nevertheless have run.
 class RecordTable
 {
 public:
@@ -29,27 +29,30 @@
         : m_settings(settings)
     {}
 
+    /// Returns the record of the key, or null if there is none.
     [[nodiscard]] auto find(const std::string &key) const -> const KeyRecord *;
 
-    /// Stores `record` unless what is there is as new or newer.
+    /// Stores `record` unless the current record is as new or newer. Returns whether it was stored.
     auto apply(const KeyRecord &record) -> bool;
-    /// Stores `record` whatever is there.
+    /// Stores `record` unconditionally.
     auto put(KeyRecord record) -> void;
 
-    /// Drops every record that is older than the key lifetime and the clock margin, and raises the low-water mark.
+    /// Removes every record that is older than the key lifetime plus the clock margin, and raises the low-water mark if
+    /// `shouldRaiseMark`. Returns the number of removed records.
     auto forget(WallMilliseconds now, bool shouldRaiseMark) -> std::size_t;
 
-    /// Whether a key without a record may have run: it was minted below the low-water mark, or before records were
-    /// lost or homes were changed, as far as its mint time or the time now can show.
+    /// Returns whether a key without a record may have run: it was minted before the low-water mark, or may have been
+    /// minted before records were lost or homes were changed, judged by its mint time or else by the current time.
     [[nodiscard]] auto mayHaveForgotten(std::string_view key, bool isHomeExplicit,
                                         WallMilliseconds now) const -> bool;
 
-    /// Whether the key claims to be minted so far ahead of `now` that the marks could not be relied on.
+    /// Returns whether the mint time in the key is more than the clock margin after `now`, so that the marks would not
+    /// apply to it.
     [[nodiscard]] auto isFromTheFuture(std::string_view key, WallMilliseconds now) const -> bool;
 
-    /// Records from before `when` are lost.
+    /// Records that all records from before `when` are lost.
     auto noteLoss(WallMilliseconds when) -> void;
-    /// Keys without an explicit home may have been bound in another domain until `when`.
+    /// Records that keys without an explicit home may have been bound in another domain until `when`.
     auto noteHomeChange(WallMilliseconds when) -> void;
 
     [[nodiscard]] auto isFull() const -> bool { return m_records.size() >= m_settings.maxRecords; }
--- a/include/stairspur/keyed/Replica.h
+++ b/include/stairspur/keyed/Replica.h
@@ -7,12 +7,13 @@
 
 namespace stairspur::keyed {
 
-/// Milliseconds since the Unix epoch, on the clock of whoever says it. Two hosts' values differ by their clock skew.
+/// Milliseconds since the Unix epoch on the clock of the host that set the value. The values of two hosts differ by
+/// their clock skew.
 using WallMilliseconds = std::uint64_t;
 
-/// One life of a node's process. A restarted node keeps its id and has a greater session, and nothing that was agreed
-/// with the former session binds or entitles the new one (kin to the client verifier of NFS version 4, paper section
-/// 6.2). Unlike the incarnation of membership, a refuted suspicion leaves the session as it is.
+/// One process instance of a node. A restarted node keeps its id and has a greater session. Agreements with the former
+/// session don't apply to the new one, as with the client verifier of NFS version 4 (paper section 6.2). Unlike the
+/// incarnation of membership, the session does not change when a suspicion is refuted.
 struct Replica
 {
     NodeId node;
@@ -20,7 +21,7 @@
 
     auto operator<=>(const Replica &) const = default;
 
-    /// Whether this names no node at all.
+    /// Returns whether this refers to no node.
     [[nodiscard]] auto isNone() const -> bool { return node.empty(); }
 };
 
--- a/include/stairspur/keyed/SlotReplica.h
+++ b/include/stairspur/keyed/SlotReplica.h
@@ -8,7 +8,7 @@
 
 namespace stairspur::keyed {
 
-/// One slot on one node, whatever its part in it: primary, witness, or neither.
+/// One slot on one node, which may be its primary, its witness or neither.
 template <typename Guards = StandardGuards>
 class SlotReplica
 {
@@ -20,26 +20,27 @@
     auto operator=(SlotReplica &&) -> SlotReplica & = delete;
     ~SlotReplica() = default;
 
-    /// `placement` stands in the store. Whatever is older is ignored.
+    /// Adopts a placement that was read from the store. An older placement is ignored.
     auto adopt(const SlotPlacement &placement, Instant now, Effects &effects) -> void;
 
-    /// Neither binds nor acknowledges anything in this epoch any more.
+    /// Seals the epoch: nothing is bound or acknowledged in it from now on.
     auto seal() -> void { m_state.isSealed = true; }
 
-    /// The records for the members of `proposed`. Call seal() first.
+    /// Returns the records as an offer to the members of `proposed`. seal() must have been called.
     [[nodiscard]] auto makeOffer(const SlotPlacement &proposed) -> SnapshotOffer;
-    /// Keeps an offer until its epoch is adopted or passed, and acknowledges it.
+    /// Stores an offer until its epoch or a later one is adopted, and acknowledges it.
     auto didReceiveOffer(const Replica &from, SnapshotOffer offer, Effects &effects) -> void;
 
-    /// The witness refused an update: one of the two is behind.
+    /// Handles the witness's refusal of an update by adopting the newer placement or sending the own one.
     auto didReceiveRefusal(const Replica &from, const RecordRefusal &refusal, Instant now,
                            Effects &effects) -> void;
 
-    /// Drops old records and raises the low-water mark. How many were dropped.
+    /// Removes expired records and raises the low-water mark. Returns the number of removed records.
     auto forget(Instant now) -> std::size_t;
-    /// Keys without an explicit home may belong elsewhere than they did.
+    /// Records that the home of keys without an explicit home may have changed.
     auto noteHomeChange(Instant now) -> void { m_state.records.noteHomeChange(now.wall); }
 
+    /// Resends what is due, see PrimarySlot::tick().
     auto tick(Instant now, Effects &effects) -> void { m_primary.tick(now, effects); }
 
     [[nodiscard]] auto primary() -> PrimarySlot<Guards> & { return m_primary; }
@@ -56,7 +57,7 @@
     SlotState m_state;
     PrimarySlot<Guards> m_primary;
     WitnessSlot<Guards> m_witness;
-    /// By source; each for an epoch that is not written yet.
+    /// Offers by source, each for an epoch that is not adopted yet.
     std::map<Replica, SnapshotOffer> m_offers;
     std::uint64_t m_offerSequence = 0;
 };
--- a/include/stairspur/keyed/SlotReplicaCode.h
+++ b/include/stairspur/keyed/SlotReplicaCode.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The member functions of SlotReplica and its parts, for who instantiates them with other guards.
+// Member functions of SlotReplica and its parts, to be included where they are instantiated with other guards.
 
 #include <utility>
 
@@ -87,7 +87,7 @@
 {
     if (!Guards::TakeoverSettlesOpenKeys)
         return;
-    // Whether the former primary ran them can't be known here, so they never run again.
+    // It can't be determined whether the former primary ran these keys, so they are never run again.
     auto open = std::vector<KeyRecord>();
     for (const auto &[key, record] : m_state.records.records()) {
         if (record.state == KeyState::Bound)
@@ -108,7 +108,7 @@
     offer.homesChangedAt = m_state.records.homesChangedAt();
     for (const auto &[key, record] : m_state.records.records()) {
         auto copy = record;
-        // Sealed: what the witness has not acknowledged is not dispatched in this epoch any more.
+        // Since the epoch is sealed, a binding that the witness has not acknowledged is never dispatched in it.
         if (m_primary.isUndispatched(key))
             copy.state = KeyState::NotRun;
         offer.records.push_back(std::move(copy));
--- a/include/stairspur/keyed/SlotState.h
+++ b/include/stairspur/keyed/SlotState.h
@@ -9,16 +9,18 @@
 
 namespace stairspur::keyed {
 
+/// Settings of the replicas of a slot.
 struct SlotSettings
 {
     RecordSettings records;
-    Duration resendInterval{200'000}; ///< An unacknowledged message is sent again after this.
-    Duration ackTimeout{
-            1'000'000}; ///< Waiters are told `unknown` when the witness is silent for this long.
-    Duration retryAfter{1'000'000}; ///< Told with refusals; the entry adds the jitter.
+    Duration resendInterval{200'000}; ///< Time after which an unacknowledged message is resent.
+    /// Time without an acknowledgement of the witness after which waiters are answered `unknown`.
+    Duration ackTimeout{1'000'000};
+    /// Retry delay that is sent with refusals. The entry adds the jitter.
+    Duration retryAfter{1'000'000};
 };
 
-/// What the parts of a slot share on one node.
+/// State that the parts of a slot on one node share.
 struct SlotState
 {
     SlotState(Replica ownReplica, const SlotSettings &slotSettings)
@@ -29,12 +31,12 @@
 
     Replica own;
     SlotSettings settings;
-    SlotPlacement placement; ///< The newest one known.
-    /// Nothing is bound or acknowledged any more in the placement's epoch. Never undone but by a new epoch.
+    SlotPlacement placement; ///< The newest placement that was received.
+    /// Whether binding and acknowledging have stopped in the placement's epoch. Only a new epoch resets it.
     bool isSealed = false;
-    /// The records are complete for the placement's epoch.
+    /// Whether the records are complete for the placement's epoch.
     bool hasRecords = false;
-    std::uint64_t sequence = 0; ///< Of the last update made here.
+    std::uint64_t sequence = 0; ///< Sequence number of the last update made here.
     RecordTable records;
 
     [[nodiscard]] auto isPrimary() const -> bool
@@ -47,7 +49,7 @@
     }
     [[nodiscard]] auto isMember() const -> bool { return isPrimary() || isWitness(); }
 
-    /// The id of the next update made here.
+    /// Increments the sequence number and returns the id of the next update made here.
     auto nextUpdate() -> UpdateId { return UpdateId{placement.epoch, ++sequence}; }
 };
 
--- a/include/stairspur/keyed/WitnessSlot.h
+++ b/include/stairspur/keyed/WitnessSlot.h
@@ -6,7 +6,7 @@
 
 namespace stairspur::keyed {
 
-/// The witness's part of a slot: records what the primary of its epoch tells it, and acknowledges nothing else.
+/// The witness's part of a slot. It records the updates of the primary of its epoch and acknowledges no others.
 template <typename Guards = StandardGuards>
 class WitnessSlot
 {
@@ -15,10 +15,11 @@
         : m_state(state)
     {}
 
+    /// Stores the update and acknowledges it, or refuses it.
     auto didReceiveUpdate(const Replica &from, const RecordUpdate &update, Effects &effects)
             -> void;
 
-    /// Answers an entry from the records, without changing them: the recorded answer, or `unknown`.
+    /// Answers an entry with the recorded answer, or with `unknown`. The records are not changed.
     auto lookUp(const Waiter &waiter, const Lookup &lookup, Effects &effects) const -> void;
 
 private:
--- a/include/stairspur/keyed/WitnessSlotCode.h
+++ b/include/stairspur/keyed/WitnessSlotCode.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The member functions of WitnessSlot, for who instantiates it with other guards.
+// Member functions of WitnessSlot, to be included where it is instantiated with other guards.
 
 #include <stairspur/keyed/WitnessSlot.h>
 
--- a/source/keyed/AnswerPayload.cpp
+++ b/source/keyed/AnswerPayload.cpp
@@ -76,7 +76,7 @@
 auto fromHex(std::string_view digits) -> std::string
 {
     if (digits.size() % 2 != 0)
-        FieldReader::fail("its hexadecimal digits are odd in number");
+        FieldReader::fail("the number of hexadecimal digits is odd");
     auto bytes = std::string();
     bytes.reserve(digits.size() / 2);
     for (std::size_t place = 0; place < digits.size(); place += 2) {
@@ -84,7 +84,7 @@
         const auto *begin = digits.data() + place;
         const auto [end, ec] = std::from_chars(begin, begin + 2, value, HexBase);
         if (ec != std::errc() || end != begin + 2)
-            FieldReader::fail("a character is no hexadecimal digit");
+            FieldReader::fail("a character is not a hexadecimal digit");
         bytes.push_back(static_cast<char>(value));
     }
     return bytes;
--- a/source/keyed/FieldList.h
+++ b/source/keyed/FieldList.h
@@ -12,7 +12,7 @@
 
 namespace stairspur::keyed {
 
-/// Appends values to a CBOR array, in an order that the reader knows.
+/// Appends values to a CBOR array. FieldReader must read them in the same order.
 class FieldWriter
 {
 public:
@@ -26,7 +26,7 @@
         m_fields.push_back(value);
         return *this;
     }
-    /// Keys and payloads are bytes of any kind, so they go as CBOR byte strings.
+    /// Appends a CBOR byte string, since keys and payloads may contain any bytes.
     auto bytes(const std::string &value) -> FieldWriter &
     {
         m_fields.push_back(nlohmann::json::binary({value.begin(), value.end()}));
@@ -48,7 +48,8 @@
     nlohmann::json m_fields = nlohmann::json::array();
 };
 
-/// Reads what FieldWriter wrote. Every member throws InputError when the next field is missing or of another kind.
+/// Reads the fields that FieldWriter wrote. Every member throws InputError if the next field is missing or has another
+/// type.
 class FieldReader
 {
 public:
@@ -56,35 +57,35 @@
         : m_fields(fields)
     {
         if (!fields.is_array())
-            fail("an array was expected");
+            fail("expected an array");
     }
 
     auto number() -> std::uint64_t
     {
         const auto &field = next();
         if (!field.is_number_unsigned())
-            fail("a number was expected");
+            fail("expected a number");
         return field.get<std::uint64_t>();
     }
     auto smallNumber() -> std::uint32_t
     {
         const auto value = number();
         if (value > std::numeric_limits<std::uint32_t>::max())
-            fail("a number is too great");
+            fail("a number is too large");
         return static_cast<std::uint32_t>(value);
     }
     auto flag() -> bool
     {
         const auto &field = next();
         if (!field.is_boolean())
-            fail("a truth value was expected");
+            fail("expected a boolean");
         return field.get<bool>();
     }
     auto bytes() -> std::string
     {
         const auto &field = next();
         if (!field.is_binary())
-            fail("a byte string was expected");
+            fail("expected a byte string");
         const auto &binary = field.get_binary();
         return {binary.begin(), binary.end()};
     }
@@ -92,7 +93,7 @@
     {
         const auto &field = next();
         if (!field.is_array())
-            fail("an array was expected");
+            fail("expected an array");
         return field;
     }
     template <NamedEnum Enum>
@@ -100,19 +101,19 @@
     {
         const auto index = number();
         if (index >= enumNames<Enum>.size())
-            fail("a value is not among those known");
+            fail("an enumeration value is unknown");
         return static_cast<Enum>(index);
     }
-    /// To be called last: nothing may be left over.
+    /// Throws InputError if fields are left. It must be called last.
     auto finish() const -> void
     {
         if (m_next != m_fields.size())
-            fail("fields are left over");
+            fail("unexpected fields at the end");
     }
 
     [[noreturn]] static auto fail(const std::string &problem) -> void
     {
-        throw InputError("a message about keyed calls cannot be read: " + problem,
+        throw InputError("keyed message cannot be decoded: " + problem,
                          "check that both ends run the same version of stairspur");
     }
 
@@ -128,8 +129,8 @@
     std::size_t m_next = 0;
 };
 
-/// fromCbor(), with every refusal as an InputError: the library's own exception escapes it where an array claims more
-/// elements than memory could hold.
+/// Calls fromCbor() and throws every failure as an InputError. fromCbor() lets the library's own exception through when
+/// the length of an array is larger than memory could hold.
 inline auto parseFields(std::string_view bytes) -> nlohmann::json
 {
     try {
--- a/source/keyed/KeyedMessages.cpp
+++ b/source/keyed/KeyedMessages.cpp
@@ -227,7 +227,7 @@
     return body;
 }
 
-/// One reader for each alternative of MessageBody, in their order.
+/// Returns one reader for each alternative of MessageBody, in their order.
 template <std::size_t... Indices>
 static constexpr auto makeReaders(std::index_sequence<Indices...> /*indices*/)
 {
@@ -259,7 +259,7 @@
     auto reader = FieldReader(fields);
     const auto kind = reader.number();
     if (kind >= bodyReaders.size())
-        FieldReader::fail("its kind is unknown");
+        FieldReader::fail("the message kind is unknown");
     auto message = Message();
     message.service = reader.bytes();
     message.domain = reader.bytes();
--- a/source/keyed/KeyedRoute.cpp
+++ b/source/keyed/KeyedRoute.cpp
@@ -82,7 +82,7 @@
 auto KeyedRoute::didReply(const Reply &reply, Random &random) -> RouteAction
 {
     if (m_isLookingUp && reply.answer.outcome == Outcome::Unknown) {
-        // The witness can't tell. Perhaps the slot has moved meanwhile, and whoever has it now can.
+        // The witness has no outcome. The slot may have moved, and its new primary may have one.
         m_shouldFetch = true;
         return wait(random);
     }
@@ -113,7 +113,7 @@
     }
     if (known && toldEpoch < knownEpoch)
         m_notice = PlacementNotice{*known};
-    m_shouldFetch = true; // Perhaps neither of the two knows the newest epoch.
+    m_shouldFetch = true; // Neither this entry nor the sender may have the newest epoch.
     return wait(random);
 }
 
--- a/source/keyed/RecordCodec.h
+++ b/source/keyed/RecordCodec.h
@@ -4,7 +4,7 @@
 #include <stairspur/keyed/KeyRecord.h>
 #include <stairspur/keyed/PlacementTable.h>
 
-/// The parts that messages and tables have in common, as CBOR arrays of fields.
+/// CBOR encoding of the parts that messages and tables share, each as an array of fields.
 namespace stairspur::keyed {
 
 auto toFields(const Replica &replica) -> nlohmann::json;
@@ -14,7 +14,7 @@
 auto toFields(const SlotPlacement &placement) -> nlohmann::json;
 auto toFields(const PlacementTable &table) -> nlohmann::json;
 
-// Each throws InputError when `fields` is not what it reads.
+// Each of these functions throws InputError if `fields` is not an encoding of its type.
 auto toReplica(const nlohmann::json &fields) -> Replica;
 auto toUpdateId(const nlohmann::json &fields) -> UpdateId;
 auto toRecordedAnswer(const nlohmann::json &fields) -> RecordedAnswer;
--- a/source/keyed/RecordTable.cpp
+++ b/source/keyed/RecordTable.cpp
@@ -36,7 +36,7 @@
     const auto mark = now - keep;
     if (shouldRaiseMark)
         raiseLowWater(mark);
-    // A key that claims a later mint time than its record's is kept until the mark has passed it too.
+    // A key whose mint time is later than the time of its record is kept until the mark has passed the mint time too.
     return std::erase_if(m_records, [&](const auto &entry) {
         const auto mintedAt = mintTimeOf(entry.first).value_or(0);
         return std::max(mintedAt, entry.second.recordedAt) < mark;
@@ -74,7 +74,7 @@
 {
     if (event == 0)
         return false;
-    // Once for the clock that minted the key, once for the clock that noted the event.
+    // One margin is for the clock that minted the key, the other for the clock that recorded the event.
     const auto settled = event + 2 * m_settings.clockMargin;
     if (const auto mintedAt = mintTimeOf(key))
         return *mintedAt <= settled;
