--- a/include/stairspur/keyed/KeyedService.h
+++ b/include/stairspur/keyed/KeyedService.h
@@ -154,7 +154,7 @@
     auto receive(const Message &message) -> void;
     auto deliver(const std::string &service, const Delivery &delivery) -> void;
     auto dispatch(const std::string &service, SlotDispatch dispatch) -> void;
-    auto didEnd(const std::string &service, const SlotDispatch &dispatch, const DispatchEnd &end)
+    auto didEnd(const std::string &service, const SlotDispatch &dispatch, const DispatchResult &end)
             -> void;
     auto read(const std::string &service) -> void;
     auto write(const std::string &service, TableWrite write) -> void;
--- a/include/stairspur/keyed/KeyedServiceEffects.h
+++ b/include/stairspur/keyed/KeyedServiceEffects.h
@@ -84,7 +84,7 @@
 template <PlacementStore Store, KeyedPeers Peers>
 auto KeyedService<Store, Peers>::dispatch(const std::string &service, SlotDispatch dispatch) -> void
 {
-    auto end = DispatchEnd{true, {}};
+    auto end = DispatchResult{true, {}};
     end.answer.reason = Reason::Cancelled;
     for (const auto &waiter : dispatch.order.waiters) {
         const auto it = m_calls.find(waiter.number);
@@ -103,7 +103,7 @@
                 .add("sequence", dispatch.order.bind.sequence);
         auto task = [](auto *self, auto isRunning, std::string of, SlotDispatch what,
                        transport::CallRequest call) -> transport::Task<void> {
-            auto ended = DispatchEnd();
+            auto ended = DispatchResult();
             try {
                 // The call is not bound to the waiter's cancellation, so that a caller that retries finds the answer.
                 const auto answer = co_await self->m_dispatch(
@@ -128,7 +128,7 @@
 
 template <PlacementStore Store, KeyedPeers Peers>
 auto KeyedService<Store, Peers>::didEnd(const std::string &service, const SlotDispatch &dispatch,
-                                        const DispatchEnd &end) -> void
+                                        const DispatchResult &end) -> void
 {
     auto effects = KeeperEffects();
     m_keepers.at(service)->didEnd(dispatch.slot, dispatch.order.key, dispatch.order.bind, end,
--- a/include/stairspur/keyed/PlacementKeeper.h
+++ b/include/stairspur/keyed/PlacementKeeper.h
@@ -108,8 +108,8 @@
     /// The key's home is elsewhere by the configuration in force here: whoever sent it has another one.
     auto sayHomeIsElsewhere(const Waiter &waiter, KeeperEffects &effects) -> void;
     auto cancel(std::uint32_t slot, const Waiter &waiter) -> void;
-    auto didEnd(std::uint32_t slot, const std::string &key, UpdateId bind, const DispatchEnd &end,
-                Instant now, KeeperEffects &effects) -> void;
+    auto didEnd(std::uint32_t slot, const std::string &key, UpdateId bind,
+                const DispatchResult &end, Instant now, KeeperEffects &effects) -> void;
 
     /// The operators' configuration gives some keys another home than before.
     auto noteHomeChange(Instant now) -> void;
--- a/include/stairspur/keyed/PlacementKeeperCode.h
+++ b/include/stairspur/keyed/PlacementKeeperCode.h
@@ -135,7 +135,7 @@
 
 template <typename Guards>
 auto PlacementKeeper<Guards>::didEnd(std::uint32_t number, const std::string &key, UpdateId bind,
-                                     const DispatchEnd &end, Instant now, KeeperEffects &effects)
+                                     const DispatchResult &end, Instant now, KeeperEffects &effects)
         -> void
 {
     auto own = Effects();
--- a/include/stairspur/keyed/PrimarySlot.h
+++ b/include/stairspur/keyed/PrimarySlot.h
@@ -34,7 +34,7 @@
 };
 
 /// The result of a dispatched call.
-struct DispatchEnd
+struct DispatchResult
 {
     bool didNotRun =
             false; ///< Whether it is proven that the call reached no backend server and never will.
@@ -59,7 +59,7 @@
     auto cancel(const Waiter &waiter) -> void;
 
     /// Records the result of the call that was dispatched for `bind`.
-    auto didEnd(const std::string &key, UpdateId bind, const DispatchEnd &end, Instant now,
+    auto didEnd(const std::string &key, UpdateId bind, const DispatchResult &end, Instant now,
                 Effects &effects) -> void;
 
     /// Handles the acknowledgement of an update by the witness.
--- a/include/stairspur/keyed/PrimarySlotCode.h
+++ b/include/stairspur/keyed/PrimarySlotCode.h
@@ -160,7 +160,7 @@
 }
 
 template <typename Guards>
-auto PrimarySlot<Guards>::didEnd(const std::string &key, UpdateId bind, const DispatchEnd &end,
+auto PrimarySlot<Guards>::didEnd(const std::string &key, UpdateId bind, const DispatchResult &end,
                                  Instant now, Effects &effects) -> void
 {
     const auto it = m_pending.find(key);
--- a/tests/keyed/WorldNodes.h
+++ b/tests/keyed/WorldNodes.h
@@ -181,7 +181,7 @@
 auto World<Guards>::execute(const NodeId &id, const SlotDispatch &dispatch) -> void
 {
     const auto fate = randomBelow(random, 100);
-    auto end = DispatchEnd();
+    auto end = DispatchResult();
     end.didNotRun = randomBelow(random, 100) < notRunPercent;
     if (!end.didNotRun) {
         auto run = SeenRun{dispatch.order.key, 0, time.now()};
--- a/tests/measure/keyed/main.cpp
+++ b/tests/measure/keyed/main.cpp
@@ -111,7 +111,7 @@
         for (const auto &it : effects.replies)
             answered += it.reply.answer.outcome == Outcome::Answered ? 1 : 0;
         for (const auto &it : effects.dispatches) {
-            auto end = DispatchEnd{false, {Outcome::Answered, Reason::None, 201}};
+            auto end = DispatchResult{false, {Outcome::Answered, Reason::None, 201}};
             end.answer.payload = std::string(payloadBytes, 'x');
             auto next = KeeperEffects();
             auto &primary = m_first.table().slots[it.slot].primary == m_a ? m_first : m_second;
