--- a/include/stairspur/keyed/Effects.h
+++ b/include/stairspur/keyed/Effects.h
@@ -25,7 +25,7 @@
 };
 
 /// A message to send.
-struct Outgoing
+struct OutgoingMessage
 {
     Replica to;
     MessageBody body;
@@ -50,7 +50,7 @@
 /// Actions that a state machine requests. Those of one kind are carried out in the order of their list.
 struct Effects
 {
-    std::vector<Outgoing> sends;
+    std::vector<OutgoingMessage> sends;
     std::vector<DispatchOrder> dispatches;
     std::vector<Delivery> replies;
 };
