--- a/include/stairspur/keyed/KeyedServiceCode.h
+++ b/include/stairspur/keyed/KeyedServiceCode.h
@@ -108,7 +108,7 @@
         return;
     log::Line(log::Severity::Warning, "key-homes-changed").add("version", m_configuration->version);
     for (auto &[service, keeper] : m_keepers)
-        keeper->noteHomeChange(now());
+        keeper->recordHomeChange(now());
 }
 
 template <PlacementStore Store, KeyedPeers Peers>
--- a/include/stairspur/keyed/PlacementKeeper.h
+++ b/include/stairspur/keyed/PlacementKeeper.h
@@ -112,7 +112,7 @@
                 const DispatchResult &end, Instant now, KeeperEffects &effects) -> void;
 
     /// The operators' configuration gives some keys another home than before.
-    auto noteHomeChange(Instant now) -> void;
+    auto recordHomeChange(Instant now) -> void;
 
     /// The newest table known here; without slots until it has been read.
     [[nodiscard]] auto table() const -> const PlacementTable & { return m_table; }
--- a/include/stairspur/keyed/PlacementKeeperCode.h
+++ b/include/stairspur/keyed/PlacementKeeperCode.h
@@ -144,11 +144,11 @@
 }
 
 template <typename Guards>
-auto PlacementKeeper<Guards>::noteHomeChange(Instant now) -> void
+auto PlacementKeeper<Guards>::recordHomeChange(Instant now) -> void
 {
     m_homesChangedAt = std::max(m_homesChangedAt, now.wall);
     for (auto &[number, slot] : m_slots)
-        slot->noteHomeChange(now);
+        slot->recordHomeChange(now);
 }
 
 template <typename Guards>
@@ -183,7 +183,7 @@
     auto &slot = m_slots[number];
     if (!slot) {
         slot = std::make_unique<SlotReplica<Guards>>(m_own, m_settings.slot);
-        slot->noteHomeChange({{}, m_homesChangedAt});
+        slot->recordHomeChange({{}, m_homesChangedAt});
     }
     return *slot;
 }
--- a/include/stairspur/keyed/RecordTable.h
+++ b/include/stairspur/keyed/RecordTable.h
@@ -53,7 +53,7 @@
     /// Records that all records from before `when` are lost.
     auto noteLoss(WallMilliseconds when) -> void;
     /// Records that keys without an explicit home may have been bound in another domain until `when`.
-    auto noteHomeChange(WallMilliseconds when) -> void;
+    auto recordHomeChange(WallMilliseconds when) -> void;
 
     [[nodiscard]] auto isFull() const -> bool { return m_records.size() >= m_settings.maxRecords; }
     [[nodiscard]] auto settings() const -> const RecordSettings & { return m_settings; }
--- a/include/stairspur/keyed/SlotReplica.h
+++ b/include/stairspur/keyed/SlotReplica.h
@@ -38,7 +38,7 @@
     /// Removes expired records and raises the low-water mark. Returns the number of removed records.
     auto forget(Instant now) -> std::size_t;
     /// Records that the home of keys without an explicit home may have changed.
-    auto noteHomeChange(Instant now) -> void { m_state.records.noteHomeChange(now.wall); }
+    auto recordHomeChange(Instant now) -> void { m_state.records.recordHomeChange(now.wall); }
 
     /// Resends what is due, see PrimarySlot::tick().
     auto tick(Instant now, Effects &effects) -> void { m_primary.tick(now, effects); }
--- a/include/stairspur/keyed/SlotReplicaCode.h
+++ b/include/stairspur/keyed/SlotReplicaCode.h
@@ -68,7 +68,7 @@
 {
     const auto homesChangedAt = m_state.records.homesChangedAt();
     m_state.records = RecordTable(m_state.settings.records);
-    m_state.records.noteHomeChange(homesChangedAt);
+    m_state.records.recordHomeChange(homesChangedAt);
 }
 
 template <typename Guards>
@@ -77,7 +77,7 @@
     clearRecords();
     m_state.records.raiseLowWater(offer.lowWater);
     m_state.records.noteLoss(offer.lostAt);
-    m_state.records.noteHomeChange(offer.homesChangedAt);
+    m_state.records.recordHomeChange(offer.homesChangedAt);
     for (const auto &record : offer.records)
         m_state.records.put(record);
 }
--- a/source/keyed/RecordTable.cpp
+++ b/source/keyed/RecordTable.cpp
@@ -53,7 +53,7 @@
     m_lostAt = std::max(m_lostAt, when);
 }
 
-auto RecordTable::noteHomeChange(WallMilliseconds when) -> void
+auto RecordTable::recordHomeChange(WallMilliseconds when) -> void
 {
     m_homesChangedAt = std::max(m_homesChangedAt, when);
 }
--- a/tests/keyed/TestRecordTable.cpp
+++ b/tests/keyed/TestRecordTable.cpp
@@ -85,7 +85,7 @@
         cr_assert_eq(lost.mayHaveForgotten(it.key, it.isExplicit, it.now), it.afterLoss, "%s",
                      it.name);
         auto moved = RecordTable({lifetime, margin, 10, 100});
-        moved.noteHomeChange(start);
+        moved.recordHomeChange(start);
         cr_assert_eq(moved.mayHaveForgotten(it.key, it.isExplicit, it.now), it.afterHomeChange,
                      "%s", it.name);
     }
--- a/tests/keyed/WorldNodes.h
+++ b/tests/keyed/WorldNodes.h
@@ -33,7 +33,7 @@
                 auto &it = nodes[isIn];
                 it.callerHome = otherDomain;
                 if (it.keeper)
-                    it.keeper->noteHomeChange(instant(it));
+                    it.keeper->recordHomeChange(instant(it));
             });
         });
     }
