--- a/include/stairspur/keyed/RecordTable.h
+++ b/include/stairspur/keyed/RecordTable.h
@@ -51,7 +51,7 @@
     [[nodiscard]] auto isFromTheFuture(std::string_view key, WallMilliseconds now) const -> bool;
 
     /// Records that all records from before `when` are lost.
-    auto noteLoss(WallMilliseconds when) -> void;
+    auto recordLoss(WallMilliseconds when) -> void;
     /// Records that keys without an explicit home may have been bound in another domain until `when`.
     auto recordHomeChange(WallMilliseconds when) -> void;
 
--- a/include/stairspur/keyed/SlotReplicaCode.h
+++ b/include/stairspur/keyed/SlotReplicaCode.h
@@ -50,7 +50,7 @@
     if (placement.source.isNone()) {
         clearRecords();
         if (Guards::LossIsRemembered && placement.lostAt != 0)
-            m_state.records.noteLoss(placement.lostAt);
+            m_state.records.recordLoss(placement.lostAt);
         return true;
     }
     if (placement.source == m_state.own)
@@ -76,7 +76,7 @@
 {
     clearRecords();
     m_state.records.raiseLowWater(offer.lowWater);
-    m_state.records.noteLoss(offer.lostAt);
+    m_state.records.recordLoss(offer.lostAt);
     m_state.records.recordHomeChange(offer.homesChangedAt);
     for (const auto &record : offer.records)
         m_state.records.put(record);
--- a/source/keyed/RecordTable.cpp
+++ b/source/keyed/RecordTable.cpp
@@ -48,7 +48,7 @@
     m_lowWater = std::max(m_lowWater, mark);
 }
 
-auto RecordTable::noteLoss(WallMilliseconds when) -> void
+auto RecordTable::recordLoss(WallMilliseconds when) -> void
 {
     m_lostAt = std::max(m_lostAt, when);
 }
--- a/tests/keyed/TestRecordTable.cpp
+++ b/tests/keyed/TestRecordTable.cpp
@@ -81,7 +81,7 @@
     };
     for (const auto &it : cases) {
         auto lost = RecordTable({lifetime, margin, 10, 100});
-        lost.noteLoss(start);
+        lost.recordLoss(start);
         cr_assert_eq(lost.mayHaveForgotten(it.key, it.isExplicit, it.now), it.afterLoss, "%s",
                      it.name);
         auto moved = RecordTable({lifetime, margin, 10, 100});
