--- a/include/stairspur/keyed/PrimarySlotCode.h
+++ b/include/stairspur/keyed/PrimarySlotCode.h
@@ -73,7 +73,7 @@
                                     Effects &effects) -> void
 {
     const auto &records = m_state.records;
-    if (records.mayHaveForgotten(submit.key, submit.isHomeExplicit, now.wall))
+    if (records.mayHaveRun(submit.key, submit.isHomeExplicit, now.wall))
         return refuse(waiter, Outcome::Unknown, Reason::KeyUnknown, 0, effects);
     if (m_state.isSealed)
         return sayMoved(waiter, effects);
--- a/include/stairspur/keyed/RecordTable.h
+++ b/include/stairspur/keyed/RecordTable.h
@@ -43,8 +43,8 @@
 
     /// Returns whether a key without a record may have run: it was minted before the low-water mark, or may have been
     /// minted before records were lost or homes were changed, judged by its mint time or else by the current time.
-    [[nodiscard]] auto mayHaveForgotten(std::string_view key, bool isHomeExplicit,
-                                        WallMilliseconds now) const -> bool;
+    [[nodiscard]] auto mayHaveRun(std::string_view key, bool isHomeExplicit,
+                                  WallMilliseconds now) const -> bool;
 
     /// Returns whether the mint time in the key is more than the clock margin after `now`, so that the marks would not
     /// apply to it.
--- a/source/keyed/RecordTable.cpp
+++ b/source/keyed/RecordTable.cpp
@@ -58,8 +58,8 @@
     m_homesChangedAt = std::max(m_homesChangedAt, when);
 }
 
-auto RecordTable::mayHaveForgotten(std::string_view key, bool isHomeExplicit,
-                                   WallMilliseconds now) const -> bool
+auto RecordTable::mayHaveRun(std::string_view key, bool isHomeExplicit, WallMilliseconds now) const
+        -> bool
 {
     const auto mintedAt = mintTimeOf(key);
     if (mintedAt && *mintedAt < m_lowWater)
--- a/tests/keyed/TestRecordTable.cpp
+++ b/tests/keyed/TestRecordTable.cpp
@@ -44,9 +44,9 @@
     cr_assert_eq(table.forget(start + lifetime + margin, true), 0);
     cr_assert_not_null(table.find(key));
     cr_assert_eq(table.forget(start + lifetime + margin + 6, true), 1);
-    cr_assert(table.mayHaveForgotten(key, true, start + lifetime + margin + 6));
+    cr_assert(table.mayHaveRun(key, true, start + lifetime + margin + 6));
     const auto later = start + lifetime;
-    cr_assert_not(table.mayHaveForgotten(mintedAt(later), true, later));
+    cr_assert_not(table.mayHaveRun(mintedAt(later), true, later));
 }
 
 Test(RecordTable, keyMintedAheadIsKeptUntilTheMarkHasPassedIt)
@@ -82,11 +82,10 @@
     for (const auto &it : cases) {
         auto lost = RecordTable({lifetime, margin, 10, 100});
         lost.recordLoss(start);
-        cr_assert_eq(lost.mayHaveForgotten(it.key, it.isExplicit, it.now), it.afterLoss, "%s",
-                     it.name);
+        cr_assert_eq(lost.mayHaveRun(it.key, it.isExplicit, it.now), it.afterLoss, "%s", it.name);
         auto moved = RecordTable({lifetime, margin, 10, 100});
         moved.recordHomeChange(start);
-        cr_assert_eq(moved.mayHaveForgotten(it.key, it.isExplicit, it.now), it.afterHomeChange,
-                     "%s", it.name);
+        cr_assert_eq(moved.mayHaveRun(it.key, it.isExplicit, it.now), it.afterHomeChange, "%s",
+                     it.name);
     }
 }
