--- a/include/stairspur/keyed/PrimarySlotCode.h
+++ b/include/stairspur/keyed/PrimarySlotCode.h
@@ -102,7 +102,7 @@
     pending.waitingSince = now.steady;
     auto &placed = m_pending.insert_or_assign(submit.key, std::move(pending)).first->second;
 
-    const auto isFuture = m_state.records.isFromTheFuture(submit.key, now.wall);
+    const auto isFuture = m_state.records.isMintedInFuture(submit.key, now.wall);
     m_state.records.put(record);
     if (submit.isQuery || isFuture) {
         const auto reason = isFuture ? Reason::BadRequest : Reason::None;
--- a/include/stairspur/keyed/RecordTable.h
+++ b/include/stairspur/keyed/RecordTable.h
@@ -48,7 +48,7 @@
 
     /// Returns whether the mint time in the key is more than the clock margin after `now`, so that the marks would not
     /// apply to it.
-    [[nodiscard]] auto isFromTheFuture(std::string_view key, WallMilliseconds now) const -> bool;
+    [[nodiscard]] auto isMintedInFuture(std::string_view key, WallMilliseconds now) const -> bool;
 
     /// Records that all records from before `when` are lost.
     auto recordLoss(WallMilliseconds when) -> void;
--- a/source/keyed/RecordTable.cpp
+++ b/source/keyed/RecordTable.cpp
@@ -81,7 +81,7 @@
     return now <= settled + m_settings.keyLifetime;
 }
 
-auto RecordTable::isFromTheFuture(std::string_view key, WallMilliseconds now) const -> bool
+auto RecordTable::isMintedInFuture(std::string_view key, WallMilliseconds now) const -> bool
 {
     const auto mintedAt = mintTimeOf(key);
     return mintedAt && *mintedAt > now + m_settings.clockMargin;
