--- a/include/stairspur/keyed/PlacementKeeperCode.h
+++ b/include/stairspur/keyed/PlacementKeeperCode.h
@@ -38,7 +38,7 @@
         auto own = Effects();
         slot->tick(now, own);
         if (shouldForget)
-            slot->forget(now);
+            slot->dropExpired(now);
         pass(number, std::move(own), effects);
     }
     switch (m_phase) {
--- a/include/stairspur/keyed/RecordTable.h
+++ b/include/stairspur/keyed/RecordTable.h
@@ -39,7 +39,7 @@
 
     /// Removes every record that is older than the key lifetime plus the clock margin, and raises the low-water mark if
     /// `shouldRaiseMark`. Returns the number of removed records.
-    auto forget(WallMilliseconds now, bool shouldRaiseMark) -> std::size_t;
+    auto dropExpired(WallMilliseconds now, bool shouldRaiseMark) -> std::size_t;
 
     /// Returns whether a key without a record may have run: it was minted before the low-water mark, or may have been
     /// minted before records were lost or homes were changed, judged by its mint time or else by the current time.
--- a/include/stairspur/keyed/SlotReplica.h
+++ b/include/stairspur/keyed/SlotReplica.h
@@ -36,7 +36,7 @@
                            Effects &effects) -> void;
 
     /// Removes expired records and raises the low-water mark. Returns the number of removed records.
-    auto forget(Instant now) -> std::size_t;
+    auto dropExpired(Instant now) -> std::size_t;
     /// Records that the home of keys without an explicit home may have changed.
     auto recordHomeChange(Instant now) -> void { m_state.records.recordHomeChange(now.wall); }
 
--- a/include/stairspur/keyed/SlotReplicaCode.h
+++ b/include/stairspur/keyed/SlotReplicaCode.h
@@ -146,9 +146,9 @@
 }
 
 template <typename Guards>
-auto SlotReplica<Guards>::forget(Instant now) -> std::size_t
+auto SlotReplica<Guards>::dropExpired(Instant now) -> std::size_t
 {
-    return m_state.records.forget(now.wall, Guards::ForgettingRaisesMark);
+    return m_state.records.dropExpired(now.wall, Guards::ForgettingRaisesMark);
 }
 
 } // namespace stairspur::keyed
--- a/source/keyed/RecordTable.cpp
+++ b/source/keyed/RecordTable.cpp
@@ -28,7 +28,7 @@
     m_records.insert_or_assign(std::move(key), std::move(record));
 }
 
-auto RecordTable::forget(WallMilliseconds now, bool shouldRaiseMark) -> std::size_t
+auto RecordTable::dropExpired(WallMilliseconds now, bool shouldRaiseMark) -> std::size_t
 {
     const auto keep = m_settings.keyLifetime + m_settings.clockMargin;
     if (now <= keep)
--- a/tests/keyed/TestRecordTable.cpp
+++ b/tests/keyed/TestRecordTable.cpp
@@ -41,9 +41,9 @@
     auto table = RecordTable({lifetime, margin, 10, 100});
     const auto key = mintedAt(start);
     table.put(recordOf(key, {1, 1}, start + 5));
-    cr_assert_eq(table.forget(start + lifetime + margin, true), 0);
+    cr_assert_eq(table.dropExpired(start + lifetime + margin, true), 0);
     cr_assert_not_null(table.find(key));
-    cr_assert_eq(table.forget(start + lifetime + margin + 6, true), 1);
+    cr_assert_eq(table.dropExpired(start + lifetime + margin + 6, true), 1);
     cr_assert(table.mayHaveRun(key, true, start + lifetime + margin + 6));
     const auto later = start + lifetime;
     cr_assert_not(table.mayHaveRun(mintedAt(later), true, later));
@@ -54,8 +54,8 @@
     auto table = RecordTable({lifetime, margin, 10, 100});
     const auto key = mintedAt(start + 20'000);
     table.put(recordOf(key, {1, 1}, start));
-    cr_assert_eq(table.forget(start + lifetime + margin + 10'000, true), 0);
-    cr_assert_eq(table.forget(start + lifetime + margin + 20'001, true), 1);
+    cr_assert_eq(table.dropExpired(start + lifetime + margin + 10'000, true), 0);
+    cr_assert_eq(table.dropExpired(start + lifetime + margin + 20'001, true), 1);
 }
 
 Test(RecordTable, lossAndHomeChangeMakeOlderKeysUncertain)
