--- a/include/stairspur/keyed/KeyedRouter.h
+++ b/include/stairspur/keyed/KeyedRouter.h
@@ -44,7 +44,7 @@
 
 private:
     /// A call that is being routed.
-    struct Journey
+    struct RoutedCall
     {
         transport::CallRequest request;
         transport::CancellationPtr cancellation;
@@ -55,14 +55,15 @@
 
     [[nodiscard]] auto callOf(const transport::CallRequest &request, bool isQuery) const
             -> KeyedCall;
-    auto submit(Journey &journey, RouteAction action) -> transport::Task<RouteAction>;
-    auto lookUp(Journey &journey, RouteAction action) -> transport::Task<RouteAction>;
-    auto fetch(Journey &journey) -> transport::Task<RouteAction>;
-    auto pause(Journey &journey, Duration delay) -> transport::Task<RouteAction>;
-    auto ask(NodeId to, Message message, Duration timeout) -> transport::Task<std::vector<Message>>;
-    auto finish(Journey &journey, const RouteAction &action) -> transport::CallAnswer;
+    auto submit(RoutedCall &routed, RouteAction action) -> transport::Task<RouteAction>;
+    auto lookUp(RoutedCall &routed, RouteAction action) -> transport::Task<RouteAction>;
+    auto fetch(RoutedCall &routed) -> transport::Task<RouteAction>;
+    auto pause(RoutedCall &routed, Duration delay) -> transport::Task<RouteAction>;
+    auto query(NodeId to, Message message, Duration timeout)
+            -> transport::Task<std::vector<Message>>;
+    auto finish(RoutedCall &routed, const RouteAction &action) -> transport::CallAnswer;
     [[nodiscard]] auto pickNode(const std::string &service, const std::string &domain) -> NodeId;
-    [[nodiscard]] auto messageFor(const Journey &journey, const RouteAction &action,
+    [[nodiscard]] auto messageFor(const RoutedCall &routed, const RouteAction &action,
                                   MessageBody body) const -> Message;
 
     boost::asio::io_context &m_io;
--- a/include/stairspur/keyed/KeyedRouterCode.h
+++ b/include/stairspur/keyed/KeyedRouterCode.h
@@ -81,121 +81,123 @@
     if (isQuery)
         request.body.clear();
     const auto deadline = monotonicNow() + request.remaining;
-    auto journey = Journey{std::move(request), std::move(cancellation), deadline,
-                           KeyedRoute(std::move(call), ++m_lastWaiter, m_settings.route, m_tables)};
-    auto action = journey.route.start();
+    auto routed =
+            RoutedCall{std::move(request), std::move(cancellation), deadline,
+                       KeyedRoute(std::move(call), ++m_lastWaiter, m_settings.route, m_tables)};
+    auto action = routed.route.start();
     while (action.step != RouteStep::Finish) {
         // No step may follow the deadline or the caller's cancellation, since a later `not-run` relies on that.
-        if (journey.cancellation && journey.cancellation->isCancelled())
-            action = journey.route.giveUp(Reason::Cancelled);
-        else if (monotonicNow() >= journey.deadline)
-            action = journey.route.giveUp(Reason::DeadlineExceeded);
+        if (routed.cancellation && routed.cancellation->isCancelled())
+            action = routed.route.giveUp(Reason::Cancelled);
+        else if (monotonicNow() >= routed.deadline)
+            action = routed.route.giveUp(Reason::DeadlineExceeded);
         else if (action.step == RouteStep::SendSubmit)
-            action = co_await submit(journey, std::move(action));
+            action = co_await submit(routed, std::move(action));
         else if (action.step == RouteStep::SendLookup)
-            action = co_await lookUp(journey, std::move(action));
+            action = co_await lookUp(routed, std::move(action));
         else if (action.step == RouteStep::FetchTable)
-            action = co_await fetch(journey);
+            action = co_await fetch(routed);
         else
-            action = co_await pause(journey, action.delay);
+            action = co_await pause(routed, action.delay);
     }
-    co_return finish(journey, action);
+    co_return finish(routed, action);
 }
 
 template <KeyedPeers Peers>
-auto KeyedRouter<Peers>::messageFor(const Journey &journey, const RouteAction &action,
+auto KeyedRouter<Peers>::messageFor(const RoutedCall &routed, const RouteAction &action,
                                     MessageBody body) const -> Message
 {
-    const auto &call = journey.route.call();
+    const auto &call = routed.route.call();
     return {call.service,   call.home,          action.slot,
             m_settings.own, {action.target, 0}, std::move(body)};
 }
 
 template <KeyedPeers Peers>
-auto KeyedRouter<Peers>::submit(Journey &journey, RouteAction action)
+auto KeyedRouter<Peers>::submit(RoutedCall &routed, RouteAction action)
         -> transport::Task<RouteAction>
 {
     if (action.notice)
-        co_await ask(action.target, messageFor(journey, action, *action.notice),
-                     m_settings.peerTimeout);
-    auto request = journey.request;
-    request.remaining = journey.deadline - monotonicNow();
+        co_await query(action.target, messageFor(routed, action, *action.notice),
+                       m_settings.peerTimeout);
+    auto request = routed.request;
+    request.remaining = routed.deadline - monotonicNow();
     request.headers.set(std::string(KeyedHeader),
-                        toHex(encodeMessage(messageFor(journey, action, action.submit))));
+                        toHex(encodeMessage(messageFor(routed, action, action.submit))));
     log::Line(log::Severity::Info, "keyed-route")
             .add("service", request.service)
-            .add("home", journey.route.call().home)
+            .add("home", routed.route.call().home)
             .add("slot", action.slot)
             .add("epoch", action.submit.epoch)
             .add("to", action.target);
-    auto answer = co_await m_peers.call(action.target, std::move(request), journey.cancellation);
+    auto answer = co_await m_peers.call(action.target, std::move(request), routed.cancellation);
     auto header = std::string(answer.headers.find(KeyedHeader));
     answer.headers.remove(KeyedHeader);
-    journey.lastAnswer = std::move(answer);
+    routed.lastAnswer = std::move(answer);
     if (header.empty())
-        co_return journey.route.didLoseLink(m_random);
+        co_return routed.route.didLoseLink(m_random);
     try {
         const auto message = decodeMessage(fromHex(header));
-        co_return journey.route.didReply(std::get<Reply>(message.body), m_random);
+        co_return routed.route.didReply(std::get<Reply>(message.body), m_random);
     } catch (const std::exception &e) {
         log::Line(log::Severity::Warning, "keyed-reply-unreadable").add("error", e.what());
     }
-    co_return journey.route.didLoseLink(m_random);
+    co_return routed.route.didLoseLink(m_random);
 }
 
 template <KeyedPeers Peers>
-auto KeyedRouter<Peers>::lookUp(Journey &journey, RouteAction action)
+auto KeyedRouter<Peers>::lookUp(RoutedCall &routed, RouteAction action)
         -> transport::Task<RouteAction>
 {
     const auto &submit = action.submit;
     const auto lookup = Lookup{submit.waiter, submit.key, submit.fingerprint};
-    const auto left = std::min(m_settings.peerTimeout, journey.deadline - monotonicNow());
-    const auto messages = co_await ask(action.target, messageFor(journey, action, lookup), left);
+    const auto remaining = std::min(m_settings.peerTimeout, routed.deadline - monotonicNow());
+    const auto messages =
+            co_await query(action.target, messageFor(routed, action, lookup), remaining);
     for (const auto &it : messages) {
         const auto *reply = std::get_if<Reply>(&it.body);
         if (!reply)
             continue;
         try {
-            journey.lastAnswer = toCallAnswer(reply->answer);
-            co_return journey.route.didReply(*reply, m_random);
+            routed.lastAnswer = toCallAnswer(reply->answer);
+            co_return routed.route.didReply(*reply, m_random);
         } catch (const InputError &e) {
             log::Line(log::Severity::Error, "keyed-record-damaged").add("error", e.what());
         }
     }
-    co_return journey.route.didLoseLink(m_random);
+    co_return routed.route.didLoseLink(m_random);
 }
 
 template <KeyedPeers Peers>
-auto KeyedRouter<Peers>::fetch(Journey &journey) -> transport::Task<RouteAction>
+auto KeyedRouter<Peers>::fetch(RoutedCall &routed) -> transport::Task<RouteAction>
 {
     auto action = RouteAction();
-    const auto &call = journey.route.call();
+    const auto &call = routed.route.call();
     action.target = pickNode(call.service, call.home);
     if (!action.target.empty()) {
-        const auto left = std::min(m_settings.peerTimeout, journey.deadline - monotonicNow());
-        const auto messages =
-                co_await ask(action.target, messageFor(journey, action, TableRequest{}), left);
+        const auto remaining = std::min(m_settings.peerTimeout, routed.deadline - monotonicNow());
+        const auto messages = co_await query(action.target,
+                                             messageFor(routed, action, TableRequest{}), remaining);
         for (const auto &it : messages) {
             const auto *notice = std::get_if<TableNotice>(&it.body);
             if (notice && !notice->table.slots.empty())
                 m_tables.merge(notice->table);
         }
     }
-    co_return journey.route.didFetch(m_random);
+    co_return routed.route.didFetch(m_random);
 }
 
 template <KeyedPeers Peers>
-auto KeyedRouter<Peers>::pause(Journey &journey, Duration delay) -> transport::Task<RouteAction>
+auto KeyedRouter<Peers>::pause(RoutedCall &routed, Duration delay) -> transport::Task<RouteAction>
 {
     auto ec = boost::system::error_code();
     auto timer = transport::Timer(m_io);
-    timer.expires_at(std::min(monotonicNow() + delay, journey.deadline));
+    timer.expires_at(std::min(monotonicNow() + delay, routed.deadline));
     co_await timer.async_wait(boost::asio::redirect_error(boost::asio::use_awaitable, ec));
-    co_return journey.route.didWait();
+    co_return routed.route.didWait();
 }
 
 template <KeyedPeers Peers>
-auto KeyedRouter<Peers>::ask(NodeId to, Message message, Duration timeout)
+auto KeyedRouter<Peers>::query(NodeId to, Message message, Duration timeout)
         -> transport::Task<std::vector<Message>>
 {
     auto messages = std::vector<Message>();
@@ -217,23 +219,23 @@
     if (!m_view)
         return {};
     for (const auto &it : m_view->members) {
-        const auto isUseful = it.service == service && it.domain == domain
-                              && it.liveness == membership::Liveness::Alive;
-        if (isUseful)
+        const auto isCandidate = it.service == service && it.domain == domain
+                                 && it.liveness == membership::Liveness::Alive;
+        if (isCandidate)
             nodes.push_back(it.node);
     }
     return nodes.empty() ? NodeId() : nodes[randomBelow(m_random, nodes.size())];
 }
 
 template <KeyedPeers Peers>
-auto KeyedRouter<Peers>::finish(Journey &journey, const RouteAction &action)
+auto KeyedRouter<Peers>::finish(RoutedCall &routed, const RouteAction &action)
         -> transport::CallAnswer
 {
-    const auto isWhole =
+    const auto isComplete =
             action.answer.outcome == Outcome::Answered || action.answer.outcome == Outcome::Failed;
     auto answer = transport::CallAnswer();
-    if (isWhole && action.answer.isPayloadKept) {
-        answer = std::move(journey.lastAnswer);
+    if (isComplete && action.answer.isPayloadKept) {
+        answer = std::move(routed.lastAnswer);
     } else {
         auto recorded = action.answer;
         recorded.payload.clear();
@@ -241,7 +243,7 @@
     }
     answer.retryAfter = action.retryAfter;
     log::Line(log::Severity::Info, "keyed-answer")
-            .add("service", journey.route.call().service)
+            .add("service", routed.route.call().service)
             .add("outcome", answer.outcome)
             .add("reason", answer.reason)
             .add("replay", action.isReplay);
--- a/include/stairspur/keyed/KeyedService.h
+++ b/include/stairspur/keyed/KeyedService.h
@@ -139,8 +139,8 @@
     auto probeSilentPeers() -> void;
     /// Suspects the primary of the slot, since an entry that sends a Lookup to its witness can't reach the primary.
     auto suspectPrimaryOf(const Message &lookup) -> void;
-    auto didHear(const NodeId &node) -> void;
-    auto didLose(const NodeId &node) -> void;
+    auto didReceiveFrom(const NodeId &node) -> void;
+    auto didFailToReach(const NodeId &node) -> void;
     auto scheduleTick() -> void;
     auto ensureOwnKeeper() -> void;
     auto keeperOf(const std::string &service) -> Keeper &;
@@ -149,13 +149,13 @@
     auto waitForReply(std::shared_ptr<Call> call, std::uint64_t number, Message message,
                       transport::CancellationPtr cancellation)
             -> transport::Task<transport::CallAnswer>;
-    auto carryOut(const std::string &service, KeeperEffects effects) -> void;
+    auto applyEffects(const std::string &service, KeeperEffects effects) -> void;
     auto send(Message message) -> void;
     auto receive(const Message &message) -> void;
     auto deliver(const std::string &service, const Delivery &delivery) -> void;
     auto dispatch(const std::string &service, SlotDispatch dispatch) -> void;
-    auto didEnd(const std::string &service, const SlotDispatch &dispatch, const DispatchResult &end)
-            -> void;
+    auto didEnd(const std::string &service, const SlotDispatch &dispatch,
+                const DispatchResult &result) -> void;
     auto read(const std::string &service) -> void;
     auto write(const std::string &service, TableWrite write) -> void;
     static auto log(const std::string &service, const std::string &domain,
--- a/include/stairspur/keyed/KeyedServiceCode.h
+++ b/include/stairspur/keyed/KeyedServiceCode.h
@@ -80,7 +80,7 @@
     for (auto &[service, keeper] : m_keepers) {
         auto effects = KeeperEffects();
         keeper->tick(now(), membersOf(service), effects);
-        carryOut(service, std::move(effects));
+        applyEffects(service, std::move(effects));
     }
 }
 
@@ -131,15 +131,15 @@
     const auto it = m_keepers.find(service);
     if (it != m_keepers.end())
         return *it->second;
-    const auto *known =
+    const auto *configured =
             m_configuration ? m_configuration->configuration.findService(service) : nullptr;
-    if (!known)
+    if (!configured)
         throw InputError("service " + service
                                  + " is not in the configuration in force on this node",
                          "wait until this node has received the newest configuration");
     auto settings = m_settings.keeper;
     settings.slot.records.keyLifetime =
-            static_cast<WallMilliseconds>(toMilliseconds(known->keyLifetime));
+            static_cast<WallMilliseconds>(toMilliseconds(configured->keyLifetime));
     auto keeper = std::make_unique<Keeper>(m_settings.own, service, m_settings.domain, settings,
                                            m_random());
     return *m_keepers.emplace(service, std::move(keeper)).first->second;
@@ -149,8 +149,8 @@
 auto KeyedService<Store, Peers>::membersOf(const std::string &service)
         -> const std::vector<PlacementMember> &
 {
-    const auto [known, isNew] = m_members.try_emplace(service);
-    auto &members = known->second;
+    const auto [cached, isNew] = m_members.try_emplace(service);
+    auto &members = cached->second;
     if (!isNew || !m_view)
         return members;
     for (const auto &it : m_view->members) {
@@ -203,8 +203,8 @@
         cancellation->onCancel([call] { call->wakeUp.cancel(); });
     submit(message, *call, number);
     auto ec = boost::system::error_code();
-    const auto isGone = cancellation && cancellation->isCancelled();
-    if (!call->reply && !isGone)
+    const auto isCancelled = cancellation && cancellation->isCancelled();
+    if (!call->reply && !isCancelled)
         co_await call->wakeUp.async_wait(
                 boost::asio::redirect_error(boost::asio::use_awaitable, ec));
     if (cancellation)
@@ -241,23 +241,23 @@
     auto &keeper = keeperOf(message.service);
     auto effects = KeeperEffects();
     const auto waiter = Waiter{{}, number};
-    const auto *sent = std::get_if<Submit>(&message.body);
+    const auto *received = std::get_if<Submit>(&message.body);
     const auto &key = call.request.idempotencyKey;
     const auto &caller = call.request.caller;
     const auto &domains = m_homes.domains();
-    const auto isHere = sent && !domains.empty()
+    const auto isHome = received && !domains.empty()
                         && homeOf(key, m_homes.homeOfCaller(caller), domains) == m_settings.domain
-                        && sent->key == scopedKey(caller, key);
-    if (!isHere) {
+                        && received->key == scopedKey(caller, key);
+    if (!isHome) {
         keeper.sayHomeIsElsewhere(waiter, effects);
-        return carryOut(message.service, std::move(effects));
+        return applyEffects(message.service, std::move(effects));
     }
-    auto submit = *sent;
+    auto submit = *received;
     call.isQuery = submit.isQuery;
     submit.isHomeExplicit = explicitHomeOf(key, domains).has_value()
                             || m_homes.isSettled(caller, wallNow(), m_settings.keeper.slot.records);
     keeper.submit(message.slot, waiter, submit, now(), effects);
-    carryOut(message.service, std::move(effects));
+    applyEffects(message.service, std::move(effects));
 }
 
 template <PlacementStore Store, KeyedPeers Peers>
@@ -272,7 +272,7 @@
         for (const auto &it : messages) {
             auto message = decodeMessage(it);
             message.from.node = from; // The link authenticates its remote node.
-            didHear(from);
+            didReceiveFrom(from);
             receive(message);
         }
     } catch (...) {
@@ -293,7 +293,7 @@
     if (std::holds_alternative<Lookup>(message.body))
         suspectPrimaryOf(message);
     keeperOf(message.service).didReceive(message, now(), effects);
-    carryOut(message.service, std::move(effects));
+    applyEffects(message.service, std::move(effects));
 }
 
 template <PlacementStore Store, KeyedPeers Peers>
--- a/include/stairspur/keyed/KeyedServiceEffects.h
+++ b/include/stairspur/keyed/KeyedServiceEffects.h
@@ -15,7 +15,8 @@
 namespace stairspur::keyed {
 
 template <PlacementStore Store, KeyedPeers Peers>
-auto KeyedService<Store, Peers>::carryOut(const std::string &service, KeeperEffects effects) -> void
+auto KeyedService<Store, Peers>::applyEffects(const std::string &service, KeeperEffects effects)
+        -> void
 {
     for (const auto &it : effects.decisions)
         log(service, m_settings.domain, it);
@@ -46,7 +47,7 @@
                                                               self->m_settings.peerTimeout);
             if (!*isRunning)
                 co_return;
-            self->didHear(to);
+            self->didReceiveFrom(to);
             for (const auto &it : decodeMessages(reply)) {
                 auto answer = decodeMessage(it);
                 answer.from.node = to;
@@ -55,7 +56,7 @@
         } catch (const Error &e) {
             // The state machine that sent the message resends it after its own timeout.
             if (*isRunning)
-                self->didLose(to);
+                self->didFailToReach(to);
             log::Line(log::Severity::Debug, "keyed-message-lost")
                     .add("to", to)
                     .add("error", e.what());
@@ -84,8 +85,8 @@
 template <PlacementStore Store, KeyedPeers Peers>
 auto KeyedService<Store, Peers>::dispatch(const std::string &service, SlotDispatch dispatch) -> void
 {
-    auto end = DispatchResult{true, {}};
-    end.answer.reason = Reason::Cancelled;
+    auto notDispatched = DispatchResult{true, {}};
+    notDispatched.answer.reason = Reason::Cancelled;
     for (const auto &waiter : dispatch.order.waiters) {
         const auto it = m_calls.find(waiter.number);
         if (it == m_calls.end() || it->second->isQuery)
@@ -93,7 +94,7 @@
         auto request = it->second->request;
         request.remaining = it->second->deadline - monotonicNow();
         if (request.remaining <= Duration(0)) {
-            end.answer.reason = Reason::DeadlineExceeded;
+            notDispatched.answer.reason = Reason::DeadlineExceeded;
             continue;
         }
         log::Line(log::Severity::Info, "keyed-dispatch")
@@ -101,51 +102,52 @@
                 .add("slot", dispatch.slot)
                 .add("epoch", dispatch.order.bind.epoch)
                 .add("sequence", dispatch.order.bind.sequence);
-        auto task = [](auto *self, auto isRunning, std::string of, SlotDispatch what,
+        auto task = [](auto *self, auto isRunning, std::string serviceName,
+                       SlotDispatch slotDispatch,
                        transport::CallRequest call) -> transport::Task<void> {
-            auto ended = DispatchResult();
+            auto result = DispatchResult();
             try {
                 // The call is not bound to the waiter's cancellation, so that a caller that retries finds the answer.
                 const auto answer = co_await self->m_dispatch(
                         std::move(call), std::make_shared<transport::Cancellation>());
-                ended.didNotRun = answer.outcome == Outcome::NotRun && !answer.wasDispatched;
-                ended.answer = toRecordedAnswer(answer);
-                if (!ended.didNotRun && answer.outcome == Outcome::NotRun)
-                    ended.answer.outcome = Outcome::Unknown;
+                result.didNotRun = answer.outcome == Outcome::NotRun && !answer.wasDispatched;
+                result.answer = toRecordedAnswer(answer);
+                if (!result.didNotRun && answer.outcome == Outcome::NotRun)
+                    result.answer.outcome = Outcome::Unknown;
             } catch (const std::exception &e) {
                 log::Line(log::Severity::Error, "keyed-dispatch-failed").add("error", e.what());
             }
             if (*isRunning)
-                self->didEnd(of, what, ended);
+                self->didEnd(serviceName, slotDispatch, result);
         };
         boost::asio::co_spawn(
                 m_io, task(this, m_isRunning, service, std::move(dispatch), std::move(request)),
                 boost::asio::detached);
         return;
     }
-    didEnd(service, dispatch, end);
+    didEnd(service, dispatch, notDispatched);
 }
 
 template <PlacementStore Store, KeyedPeers Peers>
 auto KeyedService<Store, Peers>::didEnd(const std::string &service, const SlotDispatch &dispatch,
-                                        const DispatchResult &end) -> void
+                                        const DispatchResult &result) -> void
 {
     auto effects = KeeperEffects();
-    m_keepers.at(service)->didEnd(dispatch.slot, dispatch.order.key, dispatch.order.bind, end,
+    m_keepers.at(service)->didEnd(dispatch.slot, dispatch.order.key, dispatch.order.bind, result,
                                   now(), effects);
-    carryOut(service, std::move(effects));
+    applyEffects(service, std::move(effects));
 }
 
 template <PlacementStore Store, KeyedPeers Peers>
 auto KeyedService<Store, Peers>::read(const std::string &service) -> void
 {
-    auto task = [](auto *self, auto isRunning, std::string of) -> transport::Task<void> {
+    auto task = [](auto *self, auto isRunning, std::string serviceName) -> transport::Task<void> {
         auto request = store::RangeRequest();
-        request.key = placementKey(of, self->m_settings.domain);
+        request.key = placementKey(serviceName, self->m_settings.domain);
         const auto result = co_await self->m_store.range(std::move(request));
         if (!*isRunning)
             co_return;
-        auto read = TableRead{result.isOk(), 0, {of, self->m_settings.domain, {}}};
+        auto read = TableRead{result.isOk(), 0, {serviceName, self->m_settings.domain, {}}};
         try {
             if (result.isOk() && !result.value.pairs.empty()) {
                 const auto &pair = result.value.pairs.front();
@@ -157,8 +159,9 @@
             log::Line(log::Severity::Error, "placement-table-damaged").add("error", e.what());
         }
         auto effects = KeeperEffects();
-        self->m_keepers.at(of)->didRead(read, now(), self->membersOf(of), effects);
-        self->carryOut(of, std::move(effects));
+        self->m_keepers.at(serviceName)
+                ->didRead(read, now(), self->membersOf(serviceName), effects);
+        self->applyEffects(serviceName, std::move(effects));
     };
     boost::asio::co_spawn(m_io, task(this, m_isRunning, service), boost::asio::detached);
 }
@@ -166,16 +169,16 @@
 template <PlacementStore Store, KeyedPeers Peers>
 auto KeyedService<Store, Peers>::write(const std::string &service, TableWrite write) -> void
 {
-    auto task = [](auto *self, auto isRunning, std::string of,
-                   TableWrite what) -> transport::Task<void> {
-        const auto key = placementKey(of, self->m_settings.domain);
+    auto task = [](auto *self, auto isRunning, std::string serviceName,
+                   TableWrite tableWrite) -> transport::Task<void> {
+        const auto key = placementKey(serviceName, self->m_settings.domain);
         auto transaction = store::Transaction();
         transaction.compares.push_back({key,
                                         store::CompareTarget::ModRevision,
                                         store::CompareOrder::Equal,
-                                        static_cast<std::int64_t>(what.revision),
+                                        static_cast<std::int64_t>(tableWrite.revision),
                                         {}});
-        transaction.operations.push_back({false, key, encodePlacementTable(what.table), 0});
+        transaction.operations.push_back({false, key, encodePlacementTable(tableWrite.table), 0});
         const auto result = co_await self->m_store.txn(std::move(transaction));
         if (!*isRunning)
             co_return;
@@ -184,9 +187,10 @@
                                      ? WriteResult::Conflict
                                      : WriteResult::Failed;
         auto effects = KeeperEffects();
-        self->m_keepers.at(of)->didWrite(outcome, static_cast<std::uint64_t>(result.value.revision),
-                                         now(), effects);
-        self->carryOut(of, std::move(effects));
+        self->m_keepers.at(serviceName)
+                ->didWrite(outcome, static_cast<std::uint64_t>(result.value.revision), now(),
+                           effects);
+        self->applyEffects(serviceName, std::move(effects));
     };
     boost::asio::co_spawn(m_io, task(this, m_isRunning, service, std::move(write)),
                           boost::asio::detached);
@@ -196,10 +200,10 @@
 auto KeyedService<Store, Peers>::log(const std::string &service, const std::string &domain,
                                      const PlacementDecision &decision) -> void
 {
-    const auto isTrouble =
+    const auto isWarning =
             decision.stage == DecisionStage::Blocked || decision.stage == DecisionStage::Dropped;
     const auto &proposed = decision.change.proposed;
-    log::Line(isTrouble ? log::Severity::Warning : log::Severity::Info, "placement")
+    log::Line(isWarning ? log::Severity::Warning : log::Severity::Info, "placement")
             .add("service", service)
             .add("domain", domain)
             .add("slot", decision.change.slot)
@@ -211,14 +215,14 @@
 }
 
 template <PlacementStore Store, KeyedPeers Peers>
-auto KeyedService<Store, Peers>::didHear(const NodeId &node) -> void
+auto KeyedService<Store, Peers>::didReceiveFrom(const NodeId &node) -> void
 {
     if (m_reachability.didHear(node))
         m_members.clear();
 }
 
 template <PlacementStore Store, KeyedPeers Peers>
-auto KeyedService<Store, Peers>::didLose(const NodeId &node) -> void
+auto KeyedService<Store, Peers>::didFailToReach(const NodeId &node) -> void
 {
     const auto wasUnreachable = m_reachability.isUnreachable(node);
     m_reachability.didFail(node, monotonicNow());
@@ -245,8 +249,8 @@
         return;
     const auto &service = m_keepers.begin()->first;
     m_reachability.retain([this](const NodeId &node) {
-        const auto isIt = [&](const auto &member) { return member.node == node; };
-        return std::ranges::any_of(m_view->members, isIt);
+        const auto isSameNode = [&](const auto &member) { return member.node == node; };
+        return std::ranges::any_of(m_view->members, isSameNode);
     });
     for (const auto &it : m_reachability.takeDueProbes(monotonicNow()))
         send({service, m_settings.domain, 0, m_settings.own, {it, 0}, TableRequest{}});
--- a/include/stairspur/keyed/PrimarySlot.h
+++ b/include/stairspur/keyed/PrimarySlot.h
@@ -59,7 +59,7 @@
     auto cancel(const Waiter &waiter) -> void;
 
     /// Records the result of the call that was dispatched for `bind`.
-    auto didEnd(const std::string &key, UpdateId bind, const DispatchResult &end, Instant now,
+    auto didEnd(const std::string &key, UpdateId bind, const DispatchResult &result, Instant now,
                 Effects &effects) -> void;
 
     /// Handles the acknowledgement of an update by the witness.
@@ -106,13 +106,13 @@
               Effects &effects) -> void;
     auto dispatch(const std::string &key, PendingKey &pending, Effects &effects) -> void;
     /// Reports `not-run` for a dispatched call that is proven not to have run.
-    auto release(const std::string &key, const PendingKey &pending, Reason reason, Instant now,
-                 Effects &effects) -> void;
+    auto reportNotRun(const std::string &key, const PendingKey &pending, Reason reason, Instant now,
+                      Effects &effects) -> void;
     /// Stores and returns the record of a key that did not run.
     auto recordNotRun(const std::string &key, const PendingKey &pending, Instant now) -> KeyRecord;
     /// Reports `not-run` for a key that was not dispatched here, after the witness has acknowledged that.
-    auto stateNotRun(const std::string &key, PendingKey &pending, Reason reason, Instant now,
-                     Effects &effects) -> void;
+    auto reportNotRunAfterAck(const std::string &key, PendingKey &pending, Reason reason,
+                              Instant now, Effects &effects) -> void;
     auto settle(const std::string &key, const PendingKey &pending, const RecordedAnswer &answer,
                 Instant now, Effects &effects) -> void;
     auto reportLate(const std::string &key, UpdateId bind, const RecordedAnswer &answer,
@@ -124,7 +124,7 @@
     auto refuse(const Waiter &waiter, Outcome outcome, Reason reason, std::uint32_t status,
                 Effects &effects) -> void;
     auto challenge(const Waiter &waiter, std::uint64_t ticket, Effects &effects) -> void;
-    auto sayMoved(const Waiter &waiter, Effects &effects) -> void;
+    auto replyMoved(const Waiter &waiter, Effects &effects) -> void;
 
     SlotState &m_state;
     std::map<std::string, PendingKey> m_pending;
--- a/include/stairspur/keyed/PrimarySlotCode.h
+++ b/include/stairspur/keyed/PrimarySlotCode.h
@@ -18,7 +18,7 @@
                                  Effects &effects) -> void
 {
     if (!m_state.isPrimary() || !m_state.hasRecords)
-        return sayMoved(waiter, effects);
+        return replyMoved(waiter, effects);
     const auto it = m_pending.find(submit.key);
     if (it != m_pending.end())
         return submitPending(it->second, waiter, submit, now, effects);
@@ -62,7 +62,7 @@
     if (mayHaveRun)
         return refuse(waiter, Outcome::Unknown, Reason::KeyUnknown, 0, effects);
     if (m_state.isSealed)
-        return sayMoved(waiter, effects);
+        return replyMoved(waiter, effects);
     if (Guards::StaleSubmitsAreChallenged && submit.ticket != record.ticket)
         return challenge(waiter, record.ticket, effects);
     bind(waiter, submit, record.ticket, now, effects);
@@ -76,7 +76,7 @@
     if (records.mayHaveRun(submit.key, submit.isHomeExplicit, now.wall))
         return refuse(waiter, Outcome::Unknown, Reason::KeyUnknown, 0, effects);
     if (m_state.isSealed)
-        return sayMoved(waiter, effects);
+        return replyMoved(waiter, effects);
     if (records.isFull())
         return refuse(waiter, Outcome::Unknown, Reason::QueueFull, 0, effects);
     bind(waiter, submit, 0, now, effects);
@@ -100,17 +100,17 @@
     pending.waiters.push_back(waiter);
     pending.lastSent = now.steady;
     pending.waitingSince = now.steady;
-    auto &placed = m_pending.insert_or_assign(submit.key, std::move(pending)).first->second;
+    auto &inserted = m_pending.insert_or_assign(submit.key, std::move(pending)).first->second;
 
-    const auto isFuture = m_state.records.isMintedInFuture(submit.key, now.wall);
+    const auto isMintedInFuture = m_state.records.isMintedInFuture(submit.key, now.wall);
     m_state.records.put(record);
-    if (submit.isQuery || isFuture) {
-        const auto reason = isFuture ? Reason::BadRequest : Reason::None;
-        return stateNotRun(submit.key, placed, reason, now, effects);
+    if (submit.isQuery || isMintedInFuture) {
+        const auto reason = isMintedInFuture ? Reason::BadRequest : Reason::None;
+        return reportNotRunAfterAck(submit.key, inserted, reason, now, effects);
     }
     sendUpdate(record, effects);
     if (!Guards::DispatchNeedsAck)
-        dispatch(submit.key, placed, effects);
+        dispatch(submit.key, inserted, effects);
 }
 
 template <typename Guards>
@@ -149,7 +149,7 @@
         return;
     if (pending.stage == PendingStage::AwaitingAck) {
         if (pending.waiters.empty())
-            return stateNotRun(ack.key, pending, Reason::Cancelled, now, effects);
+            return reportNotRunAfterAck(ack.key, pending, Reason::Cancelled, now, effects);
         return dispatch(ack.key, pending, effects);
     }
     if (pending.stage == PendingStage::AwaitingNotRunAck) {
@@ -160,8 +160,9 @@
 }
 
 template <typename Guards>
-auto PrimarySlot<Guards>::didEnd(const std::string &key, UpdateId bind, const DispatchResult &end,
-                                 Instant now, Effects &effects) -> void
+auto PrimarySlot<Guards>::didEnd(const std::string &key, UpdateId bind,
+                                 const DispatchResult &result, Instant now, Effects &effects)
+        -> void
 {
     const auto it = m_pending.find(key);
     if (it == m_pending.end() || it->second.bind != bind
@@ -169,14 +170,14 @@
         return;
     auto pending = std::move(it->second);
     m_pending.erase(it);
-    if (end.didNotRun)
-        return release(key, pending, end.answer.reason, now, effects);
-    settle(key, pending, end.answer, now, effects);
+    if (result.didNotRun)
+        return reportNotRun(key, pending, result.answer.reason, now, effects);
+    settle(key, pending, result.answer, now, effects);
 }
 
 template <typename Guards>
-auto PrimarySlot<Guards>::release(const std::string &key, const PendingKey &pending, Reason reason,
-                                  Instant now, Effects &effects) -> void
+auto PrimarySlot<Guards>::reportNotRun(const std::string &key, const PendingKey &pending,
+                                       Reason reason, Instant now, Effects &effects) -> void
 {
     // The witness has acknowledged the binding, so a primary that takes over treats the key as one that may have run
     // and won't run it. `not-run` is therefore true without another acknowledgement.
@@ -195,8 +196,8 @@
 auto PrimarySlot<Guards>::recordNotRun(const std::string &key, const PendingKey &pending,
                                        Instant now) -> KeyRecord
 {
-    const auto *known = m_state.records.find(key);
-    auto record = known ? *known : KeyRecord{key, pending.fingerprint};
+    const auto *current = m_state.records.find(key);
+    auto record = current ? *current : KeyRecord{key, pending.fingerprint};
     record.state = KeyState::NotRun;
     record.bind = pending.bind;
     record.update = m_state.nextUpdate();
@@ -207,8 +208,8 @@
 }
 
 template <typename Guards>
-auto PrimarySlot<Guards>::stateNotRun(const std::string &key, PendingKey &pending, Reason reason,
-                                      Instant now, Effects &effects) -> void
+auto PrimarySlot<Guards>::reportNotRunAfterAck(const std::string &key, PendingKey &pending,
+                                               Reason reason, Instant now, Effects &effects) -> void
 {
     const auto record = recordNotRun(key, pending, now);
     pending.stage = PendingStage::AwaitingNotRunAck;
@@ -232,21 +233,21 @@
     for (const auto &waiter : pending.waiters)
         this->answer(waiter, answer, false, effects);
 
-    auto kept = answer;
-    if (kept.payload.size() > m_state.settings.records.maxPayloadBytes) {
-        kept.payload.clear();
-        kept.isPayloadKept = false;
+    auto recorded = answer;
+    if (recorded.payload.size() > m_state.settings.records.maxPayloadBytes) {
+        recorded.payload.clear();
+        recorded.isPayloadKept = false;
     }
     if (!m_state.isPrimary() || !m_state.hasRecords)
-        return reportLate(key, pending.bind, kept, now, effects);
+        return reportLate(key, pending.bind, recorded, now, effects);
 
-    const auto *known = m_state.records.find(key);
-    auto record = known ? *known : KeyRecord{key, pending.fingerprint};
-    record.state = kept.outcome == Outcome::Unknown ? KeyState::Unknown : KeyState::Settled;
+    const auto *current = m_state.records.find(key);
+    auto record = current ? *current : KeyRecord{key, pending.fingerprint};
+    record.state = recorded.outcome == Outcome::Unknown ? KeyState::Unknown : KeyState::Settled;
     record.bind = pending.bind;
     record.update = m_state.nextUpdate();
     record.recordedAt = now.wall;
-    record.answer = std::move(kept);
+    record.answer = std::move(recorded);
     m_state.records.put(record);
     m_unacknowledged.insert_or_assign(key, now.steady);
     sendUpdate(record, effects);
@@ -303,7 +304,7 @@
 }
 
 template <typename Guards>
-auto PrimarySlot<Guards>::sayMoved(const Waiter &waiter, Effects &effects) -> void
+auto PrimarySlot<Guards>::replyMoved(const Waiter &waiter, Effects &effects) -> void
 {
     auto reply = Reply{waiter.number, ReplyKind::Moved};
     reply.placement = m_state.placement;
--- a/include/stairspur/keyed/PrimarySlotEpochs.h
+++ b/include/stairspur/keyed/PrimarySlotEpochs.h
@@ -30,12 +30,13 @@
         return;
     if (from != m_state.own)
         effects.sends.push_back({from, LateAccept{late.key, late.bind}});
-    const auto *known = m_state.records.find(late.key);
-    const auto isOpen = known && known->bind == late.bind && !m_pending.contains(late.key)
-                        && (known->state == KeyState::Bound || known->state == KeyState::Unknown);
+    const auto *current = m_state.records.find(late.key);
+    const auto isOpen =
+            current && current->bind == late.bind && !m_pending.contains(late.key)
+            && (current->state == KeyState::Bound || current->state == KeyState::Unknown);
     if (!isOpen)
         return;
-    auto record = *known;
+    auto record = *current;
     const auto didNotRun = late.answer.outcome == Outcome::NotRun;
     record.state = didNotRun ? KeyState::NotRun : KeyState::Settled;
     record.update = m_state.nextUpdate();
@@ -77,8 +78,8 @@
             sendUpdate(*record, effects);
     }
     std::erase_if(m_pending, [&](const auto &entry) {
-        const auto isForgotten = m_state.records.find(entry.first) == nullptr;
-        return isForgotten && entry.second.stage != PendingStage::Running;
+        const auto isDropped = m_state.records.find(entry.first) == nullptr;
+        return isDropped && entry.second.stage != PendingStage::Running;
     });
     resendOutcomes(now, effects);
 }
@@ -112,10 +113,10 @@
 {
     assert(m_state.isPrimary());
     const auto renew = [&](const std::string &key, bool isNewBinding) -> UpdateId {
-        const auto *known = m_state.records.find(key);
-        if (!known)
+        const auto *current = m_state.records.find(key);
+        if (!current)
             return {};
-        auto record = *known;
+        auto record = *current;
         record.update = m_state.nextUpdate();
         if (isNewBinding) {
             record.state = KeyState::Bound;
@@ -150,7 +151,7 @@
         if (entry.second.stage == PendingStage::Running)
             return false;
         for (const auto &waiter : entry.second.waiters)
-            sayMoved(waiter, effects);
+            replyMoved(waiter, effects);
         return true;
     });
     for (const auto &[key, lastSent] : m_unacknowledged) {
--- a/include/stairspur/keyed/SlotReplicaCode.h
+++ b/include/stairspur/keyed/SlotReplicaCode.h
@@ -23,11 +23,11 @@
 {
     if (placement.epoch <= m_state.placement.epoch)
         return;
-    const auto goesOn = m_state.isPrimary() && placement.primary == m_state.own
-                        && placement.source == m_state.own;
+    const auto staysPrimary = m_state.isPrimary() && placement.primary == m_state.own
+                              && placement.source == m_state.own;
     m_state.placement = placement;
     m_state.sequence = 0;
-    if (!goesOn)
+    if (!staysPrimary)
         m_primary.retire(now, effects);
 
     m_state.hasRecords = m_state.isMember() && takeRecordsFor(placement);
@@ -39,7 +39,7 @@
         clearRecords();
     if (!m_state.isPrimary() || !m_state.hasRecords)
         return;
-    if (!goesOn)
+    if (!staysPrimary)
         settleOpenKeys();
     m_primary.resume(now, effects);
 }
@@ -121,8 +121,9 @@
                                           Effects &effects) -> void
 {
     const auto &proposed = offer.proposed;
-    const auto concernsUs = proposed.primary == m_state.own || proposed.witness == m_state.own;
-    if (!concernsUs || proposed.epoch <= m_state.placement.epoch || proposed.source != from)
+    const auto isProposedMember =
+            proposed.primary == m_state.own || proposed.witness == m_state.own;
+    if (!isProposedMember || proposed.epoch <= m_state.placement.epoch || proposed.source != from)
         return;
     const auto accept = SnapshotAccept{proposed.epoch, offer.sequence};
     const auto it = m_offers.find(from);
--- a/source/keyed/KeyedRoute.cpp
+++ b/source/keyed/KeyedRoute.cpp
@@ -13,9 +13,9 @@
 
 auto TableCache::merge(const PlacementTable &table) -> void
 {
-    auto &known = m_tables[{table.service, table.domain}];
-    if (known.slots.empty()) {
-        known = table;
+    auto &cached = m_tables[{table.service, table.domain}];
+    if (cached.slots.empty()) {
+        cached = table;
         return;
     }
     for (std::uint32_t slot = 0; slot < table.slots.size(); ++slot)
@@ -28,9 +28,9 @@
     const auto it = m_tables.find({service, domain});
     if (it == m_tables.end() || slot >= it->second.slots.size())
         return;
-    auto &known = it->second.slots[slot];
-    if (placement.epoch > known.epoch)
-        known = placement;
+    auto &cached = it->second.slots[slot];
+    if (placement.epoch > cached.epoch)
+        cached = placement;
 }
 
 KeyedRoute::KeyedRoute(KeyedCall call, std::uint64_t waiter, RouteSettings settings,
@@ -104,15 +104,15 @@
 
 auto KeyedRoute::didMove(const Reply &reply, Random &random) -> RouteAction
 {
-    const auto *known = placement();
-    const auto knownEpoch = known ? known->epoch : 0;
-    const auto toldEpoch = reply.placement ? reply.placement->epoch : 0;
-    if (toldEpoch > knownEpoch) {
+    const auto *cached = placement();
+    const auto cachedEpoch = cached ? cached->epoch : 0;
+    const auto receivedEpoch = reply.placement ? reply.placement->epoch : 0;
+    if (receivedEpoch > cachedEpoch) {
         m_tables.merge(m_call.service, m_call.home, m_slot, *reply.placement);
         return submitOrFetch();
     }
-    if (known && toldEpoch < knownEpoch)
-        m_notice = PlacementNotice{*known};
+    if (cached && receivedEpoch < cachedEpoch)
+        m_notice = PlacementNotice{*cached};
     m_shouldFetch = true; // Neither this entry nor the sender may have the newest epoch.
     return wait(random);
 }
--- a/source/keyed/RecordTable.cpp
+++ b/source/keyed/RecordTable.cpp
@@ -15,8 +15,8 @@
 
 auto RecordTable::apply(const KeyRecord &record) -> bool
 {
-    const auto *known = find(record.key);
-    if (known && known->update >= record.update)
+    const auto *current = find(record.key);
+    if (current && current->update >= record.update)
         return false;
     put(record);
     return true;
@@ -75,10 +75,10 @@
     if (event == 0)
         return false;
     // One margin is for the clock that minted the key, the other for the clock that recorded the event.
-    const auto settled = event + 2 * m_settings.clockMargin;
+    const auto uncertainUntil = event + 2 * m_settings.clockMargin;
     if (const auto mintedAt = mintTimeOf(key))
-        return *mintedAt <= settled;
-    return now <= settled + m_settings.keyLifetime;
+        return *mintedAt <= uncertainUntil;
+    return now <= uncertainUntil + m_settings.keyLifetime;
 }
 
 auto RecordTable::isMintedInFuture(std::string_view key, WallMilliseconds now) const -> bool
