--- a/tests/keyed/FaultMatrix.h
+++ b/tests/keyed/FaultMatrix.h
@@ -11,7 +11,7 @@
 
 namespace stairspur::keyed::test {
 
-/// What strikes.
+/// A fault that a scenario injects.
 enum class Fault {
     Kill,
     Pause,
@@ -45,7 +45,7 @@
 inline constexpr auto faultCount = enumNames<Fault>.size();
 inline constexpr auto stepCount = enumNames<Step>.size();
 
-/// Appends a row to the file that STAIRSPUR_MATRIX_FILE names, if it is set; for docs/FAULT-MATRIX.md.
+/// Appends a row of docs/FAULT-MATRIX.md to the file in STAIRSPUR_MATRIX_FILE, if that variable is set.
 inline auto printRow(const std::string &row) -> void
 {
     const auto *path = std::getenv("STAIRSPUR_MATRIX_FILE");
@@ -53,19 +53,19 @@
         std::ofstream(path, std::ios::app) << row + '\n';
 }
 
-/// What one interleaving showed.
+/// The result of one interleaving.
 struct Verdict
 {
-    std::string violation;   ///< Empty: the invariants hold.
-    bool didStrike = false;  ///< The step was reached and the fault struck.
-    bool didRecover = false; ///< A fresh key was answered after all faults had ended.
-    bool mayRecover =
-            true; ///< False: the slot waits for a proof that nobody gives in this scenario.
+    std::string violation;   ///< The first violated invariant; empty if all hold.
+    bool didStrike = false;  ///< Whether the step was reached and the fault injected.
+    bool didRecover = false; ///< Whether a new key was answered after all faults had ended.
+    /// False if the slot waits for a proof that this scenario doesn't provide.
+    bool mayRecover = true;
     int runs = 0;
 };
 
-/// One fault at one step, with the order of everything else drawn from a seed: keys that are retried at other entries, a
-/// second disturbance where the step needs one, the fault, its end, and a fresh key at last.
+/// One fault at one step; a seed determines the order of all other events. Keys are retried at other entries, the step
+/// gets the change of placement that it needs, the fault is injected and ended, and a new key is called at the end.
 template <typename Guards>
 class Scenario
 {
@@ -78,7 +78,7 @@
 
     auto run() -> Verdict
     {
-        m_world.time.runUntil(TimePoint(ms(1200))); // The first placement is written.
+        m_world.time.runUntil(TimePoint(ms(1200))); // The first placement is written by then.
         const auto shape = randomBelow(m_world.random, 3);
         m_key = shape == 0 ? "order-" + std::to_string(m_world.random() % 1000)
                            : mint(shape == 2 ? "centre/" : "");
@@ -104,7 +104,7 @@
     }
 
 private:
-    /// The keys' attempts: three or four of the one that the fault aims at, some of them side by side, and a few others.
+    /// Schedules the attempts: several for the key of the fault, some of them concurrent, and some for other keys.
     auto scheduleAttempts() -> void
     {
         const auto n = 3 + randomBelow(m_world.random, 3);
@@ -135,7 +135,7 @@
         });
     }
 
-    /// Some callers come back as soon as they are told `not-run`.
+    /// Retries as a caller that repeats its call immediately after `not-run`.
     auto retryAtOnce(const SeenAttempt &attempt) -> void
     {
         const auto isTold = attempt.answer.outcome == Outcome::NotRun
@@ -156,7 +156,7 @@
         return prefix + text;
     }
 
-    /// What it takes for the steps of a change of placement to come about.
+    /// Causes the change of placement without which the scenario's step isn't reached.
     auto disturb() -> void
     {
         const auto delay = Duration(randomBelow(m_world.random, 400'000));
@@ -187,6 +187,7 @@
                                                    : m_placement.witness.node;
     }
 
+    /// Injects the fault if `step` of `key` is the selected occasion.
     auto strikeAt(Step step, const std::string &key, bool isAfter) -> void
     {
         const auto isAimedAt = step == m_step && (key.empty() || key == m_key);
@@ -198,7 +199,7 @@
 
     auto strikeAnyway() -> void
     {
-        m_skippedOccasions = 0; // From now on the first occasion is taken.
+        m_skippedOccasions = 0; // The next occasion is used.
     }
 
     auto strike() -> void
@@ -263,7 +264,7 @@
         });
     }
 
-    /// Troubles come together: a member of the pair is lost as well.
+    /// Injects a second fault: a member of the pair is lost as well.
     auto strikeAgain() -> void
     {
         const auto victim = anyMember();
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Cuts `victim` off from everybody, from the rest of the domain, from the store, or from the entries.
+    /// Cuts `victim` off from all others, from the rest of its domain, from the store, or from all but the entries.
     auto cutAway(const NodeId &victim, bool cutsOutgoing, bool cutsIncoming) -> void
     {
         const auto kind = randomBelow(m_world.random, 4);
@@ -296,7 +297,7 @@
         const auto primary = m_placement.primary.node;
         const auto witness = m_placement.witness.node;
         switch (randomBelow(m_world.random, 3)) {
-        case 0: // A split: both go on serving whoever reaches them.
+        case 0: // Partition: both continue to serve everyone who reaches them.
             for (const auto &[id, node] : m_world.nodes) {
                 const auto isInside = id == primary || id == witness || id == "entry-1";
                 if (!isInside)
@@ -332,7 +333,7 @@
             if (node.isPaused)
                 m_world.resume(id);
         }
-        // Long enough for a slot to be placed anew. After a change of homes keys that were minted just then are uncertain.
+        // This is long enough to reassign a slot. Keys that were minted right after a change of homes are uncertain.
         m_world.time.runUntil(m_world.time.now() + ms(1500));
         m_freshKey = mint("centre/");
         m_freshAttempt = m_world.begin(m_freshKey, 1, "entry-2", ms(1000));
@@ -348,7 +349,7 @@
         verdict.didStrike = m_didStrike;
         const auto ran = [&](std::uint64_t id) {
             const auto outcome = m_world.outcomeOf(id);
-            // A dispatch may end without an answer, or without having run: then the order is the backend server's.
+            // A dispatch may end without an answer or without having run, so a key that has run counts as well.
             return m_world.hasEnded(id) && (outcome != Outcome::Unknown || hasRun(m_freshKey));
         };
         verdict.didRecover = ran(m_freshAttempt) || ran(m_secondAttempt);
--- a/tests/keyed/KeyedBench.h
+++ b/tests/keyed/KeyedBench.h
@@ -13,7 +13,7 @@
 
 namespace stairspur::keyed::test {
 
-/// The store, in memory.
+/// A store in memory.
 struct FakeStore
 {
     std::map<std::string, store::KeyValue> pairs;
@@ -51,7 +51,7 @@
     }
 };
 
-/// The links of one node to the others, without a network.
+/// The links of one node to the others, as direct calls without a network.
 struct FakePeers
 {
     struct Handlers
@@ -85,7 +85,7 @@
     }
 };
 
-/// Three nodes of one service in one domain, an entry, a store: real coroutines and timers, no sockets.
+/// Three nodes of one service in one domain, an entry and a store, with real coroutines and timers but without sockets.
 class KeyedBench
 {
 public:
@@ -120,7 +120,7 @@
     std::map<NodeId, FakePeers::Handlers> handlers;
     std::map<NodeId, std::unique_ptr<Service>> services;
     std::unique_ptr<KeyedRouter<FakePeers>> router;
-    /// What the next dispatches give.
+    /// Answer of the next dispatches.
     transport::CallAnswer nextAnswer;
     int dispatches = 0;
 
--- a/tests/keyed/Ledger.h
+++ b/tests/keyed/Ledger.h
@@ -11,7 +11,7 @@
 
 namespace stairspur::keyed::test {
 
-/// What a caller saw of one attempt.
+/// One attempt as its caller observes it.
 struct SeenAttempt
 {
     std::string key;
@@ -28,17 +28,17 @@
     std::string key;
     std::uint64_t fingerprint = 0;
     TimePoint time;
-    std::vector<std::uint64_t> attempts{}; ///< That waited for it.
+    std::vector<std::uint64_t> attempts{}; ///< Attempts that waited for this run.
     std::string payload{};
 };
 
-/// Sees everything, and judges it against the invariants.
+/// Records all attempts and runs, and checks them against the invariants.
 struct Ledger
 {
     std::map<std::uint64_t, SeenAttempt> attempts;
     std::vector<SeenRun> runs;
 
-    /// The first violation, or nothing.
+    /// Returns the first violation, or an empty string.
     [[nodiscard]] auto judge() const -> std::string
     {
         auto counts = std::map<std::string, int>();
@@ -61,8 +61,9 @@
     }
 
 private:
-    /// `not-run` means: at some moment of this attempt the request had not run, and no attempt that had ended before can
-    /// still bring it about. Only an attempt that goes on beside this one, or comes later, may run it.
+    /// Returns the violation of a `not-run` answer, or an empty string. `not-run` means that at some moment of this
+    /// attempt the request had not run, and that no attempt that had ended before can still run it. Only a concurrent
+    /// or a later attempt may run it.
     [[nodiscard]] auto judgeNotRun(std::uint64_t id, const SeenAttempt &attempt) const
             -> std::string
     {
@@ -70,15 +71,16 @@
             if (run.key != attempt.key || run.fingerprint != attempt.fingerprint)
                 continue;
             if (run.time < attempt.begin)
-                return "not-run was said of key " + run.key + ", which had run";
+                return "not-run was reported for key " + run.key + ", which had run";
             const auto mayCause = [&](std::uint64_t other) {
                 const auto it = attempts.find(other);
                 return other != id && it != attempts.end() && it->second.end > attempt.begin;
             };
             if (std::none_of(run.attempts.begin(), run.attempts.end(), mayCause))
-                return "not-run was said of key " + run.key + ", which an older attempt ran later";
+                return "not-run was reported for key " + run.key
+                       + ", which an older attempt ran later";
             if (std::find(run.attempts.begin(), run.attempts.end(), id) != run.attempts.end())
-                return "not-run was said to an attempt that ran key " + run.key;
+                return "not-run was reported to an attempt that ran key " + run.key;
         }
         return {};
     }
@@ -93,7 +95,7 @@
         const auto isTruthfullyShortened =
                 attempt.isReplay && !attempt.answer.isPayloadKept && attempt.answer.payload.empty();
         if (attempt.answer.payload != it->payload && !isTruthfullyShortened)
-            return "key " + attempt.key + " got another answer than its run gave";
+            return "key " + attempt.key + " got a different answer than its run returned";
         return {};
     }
 };
--- a/tests/keyed/TestFaultMatrix.cpp
+++ b/tests/keyed/TestFaultMatrix.cpp
@@ -7,14 +7,16 @@
 using namespace stairspur;
 using namespace stairspur::keyed::test;
 
-/// Enough for every mutant to be caught; STAIRSPUR_MATRIX_SEEDS asks for more.
+/// Returns the number of seeds of each cell. 20 suffice to find a violation with every guard disabled;
+/// STAIRSPUR_MATRIX_SEEDS overrides the number.
 static auto seedsPerCell() -> std::uint64_t
 {
     const auto *more = std::getenv("STAIRSPUR_MATRIX_SEEDS");
     return more ? std::strtoull(more, nullptr, 10) : 20;
 }
 
-/// One row of cells. Prints, for docs/FAULT-MATRIX.md, in how many interleavings the fault struck at the step.
+/// Checks one row of cells. Prints for docs/FAULT-MATRIX.md in how many interleavings the fault was injected at each
+/// step.
 static auto checkFault(Fault fault) -> void
 {
     auto row = std::string(nameOf(fault));
@@ -31,12 +33,12 @@
             cr_expect(verdict.didRecover || !verdict.mayRecover, "%s: no recovery", where.c_str());
         }
         row += " | " + std::to_string(struck);
-        cr_expect(struck > 0, "%s never struck", row.c_str());
+        cr_expect(struck > 0, "%s was never injected", row.c_str());
     }
     printRow("| " + row + " |");
 }
 
-// A test for each row, so that Criterion runs rows side by side.
+// Each row is a test of its own, so that Criterion runs the rows in parallel.
 #define FAULT_ROW(name) \
     Test(FaultMatrix, name) \
     { \
--- a/tests/keyed/TestKeyedMessages.cpp
+++ b/tests/keyed/TestKeyedMessages.cpp
@@ -47,7 +47,7 @@
             {"192.0.2.2:7100", 0}, std::move(body)};
 }
 
-Test(KeyedMessages, everyKindSurvivesItsBytes)
+Test(KeyedMessages, everyKindIsDecodedAsEncoded)
 {
     for (const auto &body : everyBody()) {
         const auto bytes = encodeMessage(wrap(body));
@@ -58,7 +58,7 @@
     }
 }
 
-Test(KeyedMessages, truncatedAndForeignBytesAreTypedErrors)
+Test(KeyedMessages, truncatedAndForeignBytesThrowInputError)
 {
     for (const auto &body : everyBody()) {
         const auto bytes = encodeMessage(wrap(body));
@@ -76,7 +76,7 @@
         cr_assert_throw(decodeMessage(toCbor(it)), InputError);
 }
 
-Test(KeyedMessages, damagedBytesNeverEscapeTheTypedError)
+Test(KeyedMessages, damagedBytesThrowNothingButInputError)
 {
     auto random = Random(7);
     for (const auto &body : everyBody()) {
@@ -93,7 +93,7 @@
     }
 }
 
-Test(KeyedMessages, tableSurvivesItsBytes)
+Test(KeyedMessages, tableIsDecodedAsEncoded)
 {
     const auto table = PlacementTable{"order-intake", "centre", {somePlacement(), {}}};
     cr_assert(decodePlacementTable(encodePlacementTable(table)) == table);
--- a/tests/keyed/TestKeyedService.cpp
+++ b/tests/keyed/TestKeyedService.cpp
@@ -25,7 +25,7 @@
     return answer;
 }
 
-Test(KeyedService, secondCallUnderAKeyReplaysTheFirst)
+Test(KeyedService, secondCallWithSameKeyReplaysFirstAnswer)
 {
     auto bench = KeyedBench();
     bench.nextAnswer = answered("order 1");
@@ -43,7 +43,7 @@
     cr_assert_not(bench.router->resolve("order-intake", "key-1", "kitchen").empty());
 }
 
-Test(KeyedService, otherRequestUnderAKnownKeyIsRefused)
+Test(KeyedService, differentRequestWithRecordedKeyIsRefused)
 {
     auto bench = KeyedBench();
     bench.nextAnswer = answered("order 1");
@@ -54,7 +54,7 @@
     cr_assert_eq(bench.dispatches, 1);
 }
 
-Test(KeyedService, provenNotRunMayBeTriedAgain)
+Test(KeyedService, callMayBeRetriedAfterProvenNotRun)
 {
     auto bench = KeyedBench();
     bench.nextAnswer = refused();
@@ -77,7 +77,7 @@
     cr_assert_eq(bench.dispatches, 1);
 }
 
-Test(KeyedService, largeAnswerIsWholeOnceAndThenSaidToHaveBeen)
+Test(KeyedService, largeAnswerIsReturnedOnceAndReplayedAsTooLarge)
 {
     auto bench = KeyedBench();
     const auto body = std::string(100'000, 'x');
@@ -90,7 +90,7 @@
     cr_assert_eq(bench.dispatches, 1);
 }
 
-Test(KeyedService, pairGoesOnWhileTheStoreIsDown)
+Test(KeyedService, callsAreAnsweredWhileStoreIsDown)
 {
     auto bench = KeyedBench();
     bench.nextAnswer = answered("order");
@@ -112,7 +112,7 @@
     cr_assert_eq(bench.dispatches, 1);
 }
 
-Test(KeyedService, callWithoutItsHeaderRunsNothing)
+Test(KeyedService, callWithoutValidHeaderRunsNothing)
 {
     auto bench = KeyedBench();
     auto &service = *bench.services.begin()->second;
@@ -126,11 +126,11 @@
     cr_assert_eq(bench.dispatches, 0);
 }
 
-Test(KeyedService, witnessTakesOverFromAPrimaryThatItCannotReachWhileMembershipStillTrustsIt)
+Test(KeyedService, witnessTakesOverFromUnreachablePrimaryThatIsAliveInMembership)
 {
     auto bench = KeyedBench();
     bench.nextAnswer = answered("order 1");
-    bench.route("key-1", "two soups"); // Makes the entry know the placements.
+    bench.route("key-1", "two soups"); // The entry caches the placements.
     const auto primary = bench.router->resolve("order-intake", "key-2", "kitchen");
     bench.handlers.erase(primary);
     cr_assert_eq(bench.route("key-2", "one soup").outcome, Outcome::Answered);
--- a/tests/keyed/TestMutants.cpp
+++ b/tests/keyed/TestMutants.cpp
@@ -8,7 +8,7 @@
 
 static constexpr auto mostSeeds = std::uint64_t{20};
 
-/// Switches nothing off but what a mutant names: the matrix has to find a violation.
+/// Expects that the matrix finds a violation with `Guards`, which disables a single guard.
 template <typename Guards>
 static auto expectCaught(const char *name) -> void
 {
@@ -27,7 +27,7 @@
             return;
         }
     }
-    cr_expect(false, "no interleaving of %d noticed that %s is off", n, name);
+    cr_expect(false, "none of %d interleavings had a violation with %s disabled", n, name);
 }
 
 #define MUTANT(guard) \
--- a/tests/keyed/TestRecordTable.cpp
+++ b/tests/keyed/TestRecordTable.cpp
@@ -27,7 +27,7 @@
     return record;
 }
 
-Test(RecordTable, onlyNewerUpdatesCount)
+Test(RecordTable, onlyNewerUpdatesAreStored)
 {
     auto table = RecordTable({lifetime, margin, 10, 100});
     cr_assert(table.apply(recordOf("k", {1, 2}, start)));
@@ -36,7 +36,7 @@
     cr_assert(table.apply(recordOf("k", {2, 1}, start)));
 }
 
-Test(RecordTable, forgottenKeysWithAMintTimeAreBelowTheMark)
+Test(RecordTable, droppedKeysWithMintTimeAreBelowLowWaterMark)
 {
     auto table = RecordTable({lifetime, margin, 10, 100});
     const auto key = mintedAt(start);
@@ -49,7 +49,7 @@
     cr_assert_not(table.mayHaveRun(mintedAt(later), true, later));
 }
 
-Test(RecordTable, keyMintedAheadIsKeptUntilTheMarkHasPassedIt)
+Test(RecordTable, keyMintedAheadIsKeptUntilMarkPassesItsMintTime)
 {
     auto table = RecordTable({lifetime, margin, 10, 100});
     const auto key = mintedAt(start + 20'000);
@@ -58,7 +58,7 @@
     cr_assert_eq(table.dropExpired(start + lifetime + margin + 20'001, true), 1);
 }
 
-Test(RecordTable, lossAndHomeChangeMakeOlderKeysUncertain)
+Test(RecordTable, olderKeysMayHaveRunAfterLossOrHomeChange)
 {
     struct Case
     {
@@ -73,7 +73,7 @@
     const auto late = start + lifetime + 2 * margin + 1;
     const Case cases[] = {
             {"opaque, soon", "order-1", false, soon, true, true},
-            {"opaque with a home of its own, soon", "centre/order-1", true, soon, true, false},
+            {"opaque with an explicit home, soon", "centre/order-1", true, soon, true, false},
             {"opaque, after its lifetime", "order-1", false, late, false, false},
             {"minted before", mintedAt(start - 1), false, late, true, true},
             {"minted within the margin", mintedAt(start + margin), false, soon, true, true},
--- a/tests/keyed/VirtualNetwork.h
+++ b/tests/keyed/VirtualNetwork.h
@@ -10,7 +10,7 @@
 
 namespace stairspur::keyed::test {
 
-/// Which ways are cut, and how long a message takes.
+/// Simulates cut, slow, duplicating and reordering links.
 class VirtualNetwork
 {
 public:
@@ -30,21 +30,24 @@
         m_isReordering = false;
     }
 
+    /// Returns whether messages pass in this direction.
     [[nodiscard]] auto passes(const std::string &from, const std::string &to) const -> bool
     {
         return !m_cuts.contains({from, to});
     }
+    /// Returns whether messages pass in both directions.
     [[nodiscard]] auto reaches(const std::string &a, const std::string &b) const -> bool
     {
         return passes(a, b) && passes(b, a);
     }
 
-    /// How often a message arrives: 1, or 2 while messages are duplicated.
+    /// Returns how often a message arrives: 1, or 1 or 2 while messages are duplicated.
     auto copies() -> int { return m_isDuplicating && randomBelow(m_random, 2) == 0 ? 2 : 1; }
 
+    /// Returns the delay of a message.
     auto delay(const std::string &from, const std::string &to) -> Duration
     {
-        // Most go fast, so that what lags is overtaken by several messages.
+        // Most messages are fast, so that several of them overtake a delayed one.
         auto micros = 500 + randomBelow(m_random, 2500);
         if (m_isReordering && randomBelow(m_random, 3) == 0)
             micros += randomBelow(m_random, 250'000);
--- a/tests/keyed/VirtualStore.h
+++ b/tests/keyed/VirtualStore.h
@@ -7,7 +7,7 @@
 
 namespace stairspur::keyed::test {
 
-/// The platform's store, with compare-and-swap and its faults.
+/// Simulates the platform's store with compare-and-swap and its faults.
 struct VirtualStore
 {
     struct Value
@@ -19,7 +19,7 @@
     bool isDown = false;
     bool isSlow = false;
     bool losesAnswers = false;
-    std::map<std::string, Value> values; ///< By domain.
+    std::map<std::string, Value> values; ///< Placement tables by domain.
     int writes = 0;
 
     auto heal() -> void { isDown = isSlow = losesAnswers = false; }
--- a/tests/keyed/VirtualTime.h
+++ b/tests/keyed/VirtualTime.h
@@ -10,18 +10,19 @@
 
 using Action = std::function<void()>;
 
-/// A clock that moves from event to event.
+/// A virtual clock that advances from event to event.
 class VirtualTime
 {
 public:
     [[nodiscard]] auto now() const -> TimePoint { return m_now; }
 
+    /// Schedules `action`.
     auto after(Duration delay, Action action) -> void
     {
         m_events.emplace(m_now + delay, std::move(action));
     }
 
-    /// Runs every event up to `end`.
+    /// Runs every event up to `end` and advances the clock to it.
     auto runUntil(TimePoint end) -> void
     {
         while (!m_events.empty() && m_events.begin()->first <= end) {
--- a/tests/keyed/World.h
+++ b/tests/keyed/World.h
@@ -17,7 +17,7 @@
 
 namespace stairspur::keyed::test {
 
-/// Where a fault can strike.
+/// A step of a keyed call or of a change of placement at which a fault can be injected.
 enum class Step {
     Resolve,
     Bind,
@@ -45,7 +45,7 @@
 inline constexpr auto storeTimeout = ms(300);
 inline constexpr auto maxPayload = std::size_t{64};
 
-/// Nodes of two failure domains, entries, callers, the store and the network, in one thread under a virtual clock.
+/// Nodes of two failure domains, entries, callers, the store and the network, run in one thread with a virtual clock.
 template <typename Guards>
 class World
 {
@@ -57,9 +57,9 @@
         bool isAlive = true;
         bool isPaused = false;
         bool isLeaving = false;
-        long long skew = 0;                              ///< Milliseconds.
-        std::unique_ptr<PlacementKeeper<Guards>> keeper; ///< None: an entry.
-        std::deque<Action> backlog;                      ///< What arrived while it was paused.
+        long long skew = 0; ///< Offset of the node's wall clock in milliseconds.
+        std::unique_ptr<PlacementKeeper<Guards>> keeper; ///< Null for an entry.
+        std::deque<Action> backlog; ///< Actions that arrived while the node was paused.
         std::map<std::string, std::pair<Incarnation, TimePoint>> lastHeard;
         TableCache tables;
         std::string callerHome = homeDomain;
@@ -95,11 +95,11 @@
     VirtualStore store;
     Ledger ledger;
     std::map<NodeId, Node> nodes;
-    std::uint64_t notRunPercent = 15;  ///< Of the dispatches: their upstream was busy.
-    std::uint64_t longestRun = 60'000; ///< Microseconds.
-    /// Called when an attempt has ended.
+    std::uint64_t notRunPercent = 15;  ///< Share of the dispatches whose backend server is busy.
+    std::uint64_t longestRun = 60'000; ///< Maximum run time in microseconds.
+    /// Callback when an attempt has ended.
     std::function<void(const SeenAttempt &)> didEnd;
-    /// Called when a step of a key is reached: before it, and after it.
+    /// Callback before and after each step of a key.
     std::function<void(Step, const std::string &key, bool isAfter)> didReach;
 
     // Faults
@@ -141,12 +141,13 @@
     auto isolate(const NodeId &id, const std::function<bool(const NodeId &)> &isCutFrom,
                  bool cutsOutgoing, bool cutsIncoming) -> void;
 
-    /// The operators move every key without a home of its own to the other domain; nodes learn it one after another.
+    /// Moves the home of every key without an explicit home to the other domain. The nodes receive the change one after
+    /// another.
     auto changeHomes() -> void;
 
     // Callers
 
-    /// Begins an attempt; it ends with an answer or at its deadline.
+    /// Begins an attempt, which ends with an answer or at its deadline.
     auto begin(const std::string &key, std::uint64_t fingerprint, const NodeId &entry,
                Duration patience, bool isQuery = false) -> std::uint64_t;
 
@@ -156,7 +157,7 @@
         return ledger.attempts[id].answer.outcome;
     }
 
-    /// Who has the slot of `key`, as the store says.
+    /// Returns the placement of the slot of `key` in the store.
     [[nodiscard]] auto placementOf(const std::string &key) -> SlotPlacement
     {
         const auto &table = store.values[homeDomain].table;
@@ -211,7 +212,7 @@
         node.keeper = makeKeeper(node);
     }
 
-    /// Runs `action` in the node's process as it is now: later when that is paused, never when it is gone.
+    /// Runs `action` in the node's current process: after the pause if it is paused, never if it has been killed.
     auto runOn(const NodeId &id, Action action) -> void
     {
         auto &node = nodes[id];
@@ -224,6 +225,7 @@
         action();
     }
 
+    /// Runs `action` unless the node has been killed since process instance `life`.
     auto runInLife(const NodeId &id, std::uint64_t life, Action action) -> void
     {
         if (m_lives[id] == life)
@@ -242,7 +244,7 @@
 
     auto listen(Node &node) -> void;
 
-    /// What membership tells this node.
+    /// Returns the members as membership reports them to this node.
     auto view(Node &node) -> std::vector<PlacementMember>;
 
     auto carryOut(const NodeId &id, KeeperEffects effects) -> void;
@@ -269,7 +271,7 @@
 
     auto handleAtEntry(Node &entry, const Message &message) -> void;
 
-    /// Goes on with an attempt that is still at `step`.
+    /// Continues an attempt that is still at `step`.
     template <typename Next>
     auto proceed(std::uint64_t id, std::uint64_t step, Next &&next) -> void
     {
@@ -293,7 +295,7 @@
 
     // Store
 
-    /// Sends `operation` to the store and its result back to the node, as long as that has not given it up.
+    /// Sends `operation` to the store and reports its result to the node unless the node has abandoned the call.
     template <typename Operation, typename Report>
     auto callStore(const NodeId &id, Operation operation, Report report) -> void
     {
@@ -334,8 +336,8 @@
 
     static constexpr auto stepsPerAttempt = std::uint64_t{1000};
     std::map<std::uint64_t, Attempt> m_attempts;
-    std::map<NodeId, std::uint64_t>
-            m_lives; ///< Counts kills, so that nothing reaches a later life.
+    /// Number of kills of each node, so that no action reaches a later process instance.
+    std::map<NodeId, std::uint64_t> m_lives;
     std::map<NodeId, std::uint64_t> m_storeCalls;
     std::uint64_t m_lastAttempt = 0;
 };
--- a/tests/keyed/WorldEntries.h
+++ b/tests/keyed/WorldEntries.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// World's callers and entries.
+// Member functions of VirtualCluster for callers and entries.
 
 #include "World.h"
 
--- a/tests/keyed/WorldNodes.h
+++ b/tests/keyed/WorldNodes.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// World's nodes: their clock ticks, their messages, their calls to the store and to backend servers.
+// Member functions of VirtualCluster for nodes: ticks, messages and calls to the store and to backend servers.
 
 #include "World.h"
 
@@ -140,7 +140,7 @@
     const auto [step, key] = stepOf(message);
     if (!key.empty())
         reach(step, key, false);
-    // The fault may have struck the link or the node at this very moment.
+    // The fault may just have cut the link or stopped the node.
     if (!network.passes(from, to))
         return;
     runOn(to, [this, to, message] { handle(to, message); });
@@ -170,7 +170,7 @@
     const auto life = m_lives[id];
     reach(Step::Dispatch, key, false);
     runInLife(id, life, [this, id, dispatch] {
-        // Sent to some gate: from here on it goes its way without the primary.
+        // The call is sent to a gate and runs independently of the primary from now on.
         time.after(Duration(randomBelow(random, 3000)),
                    [this, id, dispatch] { execute(id, dispatch); });
     });
