--- a/tests/keyed/FaultMatrix.h
+++ b/tests/keyed/FaultMatrix.h
@@ -6,8 +6,8 @@
 #include <fstream>
 #include <string>
 
-#include "WorldEntries.h"
-#include "WorldNodes.h"
+#include "VirtualClusterEntries.h"
+#include "VirtualClusterNodes.h"
 
 namespace stairspur::keyed::test {
 
@@ -73,33 +73,33 @@
     Scenario(Fault fault, Step step, std::uint64_t seed)
         : m_fault(fault)
         , m_step(step)
-        , m_world(seed * 977 + std::uint64_t(fault) * 31 + std::uint64_t(step))
+        , m_cluster(seed * 977 + std::uint64_t(fault) * 31 + std::uint64_t(step))
     {}
 
     auto run() -> Verdict
     {
-        m_world.time.runUntil(TimePoint(ms(1200))); // The first placement is written by then.
-        const auto shape = randomBelow(m_world.random, 3);
-        m_key = shape == 0 ? "order-" + std::to_string(m_world.random() % 1000)
+        m_cluster.time.runUntil(TimePoint(ms(1200))); // The first placement is written by then.
+        const auto shape = randomBelow(m_cluster.random, 3);
+        m_key = shape == 0 ? "order-" + std::to_string(m_cluster.random() % 1000)
                            : mint(shape == 2 ? "centre/" : "");
-        m_placement = m_world.placementOf(m_key);
-        m_world.didReach = [this](Step step, const std::string &key, bool isAfter) {
+        m_placement = m_cluster.placementOf(m_key);
+        m_cluster.didReach = [this](Step step, const std::string &key, bool isAfter) {
             strikeAt(step, key, isAfter);
         };
-        if (randomBelow(m_world.random, 3) == 0)
-            m_world.notRunPercent = 70;
-        if (randomBelow(m_world.random, 3) == 0)
-            m_world.longestRun = 500'000;
-        if (randomBelow(m_world.random, 2) == 0)
-            m_world.didEnd = [this](const auto &attempt) { retryAtOnce(attempt); };
-        m_strikesAfter = randomBelow(m_world.random, 2) == 0;
-        m_skippedOccasions = static_cast<int>(randomBelow(m_world.random, 3));
+        if (randomBelow(m_cluster.random, 3) == 0)
+            m_cluster.notRunPercent = 70;
+        if (randomBelow(m_cluster.random, 3) == 0)
+            m_cluster.longestRun = 500'000;
+        if (randomBelow(m_cluster.random, 2) == 0)
+            m_cluster.didEnd = [this](const auto &attempt) { retryAtOnce(attempt); };
+        m_strikesAfter = randomBelow(m_cluster.random, 2) == 0;
+        m_skippedOccasions = static_cast<int>(randomBelow(m_cluster.random, 3));
         scheduleAttempts();
         disturb();
-        m_world.time.after(ms(700), [this] { strikeAnyway(); });
-        m_world.time.runUntil(m_world.time.now() + ms(4200));
+        m_cluster.time.after(ms(700), [this] { strikeAnyway(); });
+        m_cluster.time.runUntil(m_cluster.time.now() + ms(4200));
         endFaults();
-        m_world.time.runUntil(m_world.time.now() + ms(2500));
+        m_cluster.time.runUntil(m_cluster.time.now() + ms(2500));
         return judge();
     }
 
@@ -107,31 +107,31 @@
     /// Schedules the attempts: several for the key of the fault, some of them concurrent, and some for other keys.
     auto scheduleAttempts() -> void
     {
-        const auto n = 3 + randomBelow(m_world.random, 3);
+        const auto n = 3 + randomBelow(m_cluster.random, 3);
         for (std::uint64_t attempt = 0; attempt < n; ++attempt) {
-            const auto delay = attempt * 150'000 + randomBelow(m_world.random, 250'000);
+            const auto delay = attempt * 150'000 + randomBelow(m_cluster.random, 250'000);
             attemptAfter(Duration(delay), m_key, 1);
         }
         attemptAfter(ms(1700), m_key, 1);
-        if (randomBelow(m_world.random, 3) == 0)
-            attemptAfter(Duration(randomBelow(m_world.random, 900'000)), m_key, 2);
+        if (randomBelow(m_cluster.random, 3) == 0)
+            attemptAfter(Duration(randomBelow(m_cluster.random, 900'000)), m_key, 2);
         if (mintTimeOf(m_key)) // Only keys with a mint time may be retried after their lifetime.
             attemptAfter(ms(4100), m_key, 1);
         for (int other = 0; other < 4; ++other)
-            m_world.time.after(Duration(randomBelow(m_world.random, 2'200'000)), [this] {
+            m_cluster.time.after(Duration(randomBelow(m_cluster.random, 2'200'000)), [this] {
                 const auto key = mint("centre/");
                 for (int attempt = 0; attempt < 4; ++attempt)
-                    attemptAfter(Duration(randomBelow(m_world.random, 900'000)), key, 1);
+                    attemptAfter(Duration(randomBelow(m_cluster.random, 900'000)), key, 1);
             });
     }
 
     auto attemptAfter(Duration delay, const std::string &key, std::uint64_t fingerprint) -> void
     {
-        m_world.time.after(delay, [this, key, fingerprint] {
-            const auto entry = "entry-" + std::to_string(1 + randomBelow(m_world.random, 3));
-            const auto patience = Duration(200'000 + randomBelow(m_world.random, 700'000));
-            const auto isQuery = randomBelow(m_world.random, 6) == 0;
-            m_world.begin(key, fingerprint, entry, patience, isQuery);
+        m_cluster.time.after(delay, [this, key, fingerprint] {
+            const auto entry = "entry-" + std::to_string(1 + randomBelow(m_cluster.random, 3));
+            const auto patience = Duration(200'000 + randomBelow(m_cluster.random, 700'000));
+            const auto isQuery = randomBelow(m_cluster.random, 6) == 0;
+            m_cluster.begin(key, fingerprint, entry, patience, isQuery);
         });
     }
 
@@ -141,50 +141,50 @@
         const auto isTold = attempt.answer.outcome == Outcome::NotRun
                             && attempt.answer.reason != Reason::BadRequest;
         if (isTold && m_retries++ < maxRetries)
-            attemptAfter(Duration(randomBelow(m_world.random, 30'000)), attempt.key,
+            attemptAfter(Duration(randomBelow(m_cluster.random, 30'000)), attempt.key,
                          attempt.fingerprint);
     }
 
     auto mint(const std::string &prefix) -> std::string
     {
-        const auto wall = m_world.wallOf(m_world.nodes["entry-1"]);
+        const auto wall = m_cluster.wallOf(m_cluster.nodes["entry-1"]);
         char text[48];
         std::snprintf(text, sizeof text, "%08llx-%04llx-7000-8000-%012llx",
                       static_cast<unsigned long long>(wall >> 16U),
                       static_cast<unsigned long long>(wall & 0xffffU),
-                      static_cast<unsigned long long>(m_world.random() & 0xffffffffffffULL));
+                      static_cast<unsigned long long>(m_cluster.random() & 0xffffffffffffULL));
         return prefix + text;
     }
 
     /// Causes the change of placement without which the scenario's step isn't reached.
     auto disturb() -> void
     {
-        const auto delay = Duration(randomBelow(m_world.random, 400'000));
+        const auto delay = Duration(randomBelow(m_cluster.random, 400'000));
         if (m_step == Step::HandOver)
-            m_world.time.after(delay, [this] { leave(m_placement.primary.node); });
+            m_cluster.time.after(delay, [this] { leave(m_placement.primary.node); });
         if (m_step != Step::Takeover && m_step != Step::CompareAndSwap)
             return;
         const auto victim = anyMember();
-        switch (randomBelow(m_world.random, 3)) {
+        switch (randomBelow(m_cluster.random, 3)) {
         case 0:
-            m_world.time.after(delay, [this, victim] { m_world.kill(victim); });
+            m_cluster.time.after(delay, [this, victim] { m_cluster.kill(victim); });
             break;
         case 1:
-            m_world.time.after(delay, [this, victim] { m_world.pause(victim); });
-            m_world.time.after(delay + ms(1100), [this, victim] { m_world.resume(victim); });
+            m_cluster.time.after(delay, [this, victim] { m_cluster.pause(victim); });
+            m_cluster.time.after(delay + ms(1100), [this, victim] { m_cluster.resume(victim); });
             break;
         default:
-            m_world.time.after(delay, [this, victim] { cutAway(victim, true, true); });
+            m_cluster.time.after(delay, [this, victim] { cutAway(victim, true, true); });
             break;
         }
     }
 
-    auto leave(const NodeId &node) -> void { m_world.nodes[node].isLeaving = true; }
+    auto leave(const NodeId &node) -> void { m_cluster.nodes[node].isLeaving = true; }
 
     auto anyMember() -> NodeId
     {
-        return randomBelow(m_world.random, 2) == 0 ? m_placement.primary.node
-                                                   : m_placement.witness.node;
+        return randomBelow(m_cluster.random, 2) == 0 ? m_placement.primary.node
+                                                     : m_placement.witness.node;
     }
 
     /// Injects the fault if `step` of `key` is the selected occasion.
@@ -205,23 +205,23 @@
     auto strike() -> void
     {
         m_didStrike = true;
-        m_placement = m_world.placementOf(m_key);
-        if (randomBelow(m_world.random, 2) == 0)
-            m_world.time.after(Duration(randomBelow(m_world.random, 800'000)),
-                               [this] { strikeAgain(); });
+        m_placement = m_cluster.placementOf(m_key);
+        if (randomBelow(m_cluster.random, 2) == 0)
+            m_cluster.time.after(Duration(randomBelow(m_cluster.random, 800'000)),
+                                 [this] { strikeAgain(); });
         const auto victim = anyMember();
-        const auto length = ms(150 + static_cast<long long>(randomBelow(m_world.random, 1200)));
-        auto &network = m_world.network;
+        const auto length = ms(150 + static_cast<long long>(randomBelow(m_cluster.random, 1200)));
+        auto &network = m_cluster.network;
         switch (m_fault) {
         case Fault::Kill:
-            return m_world.kill(victim);
+            return m_cluster.kill(victim);
         case Fault::Pause:
-            m_world.pause(victim);
-            return m_world.time.after(length, [this, victim] { m_world.resume(victim); });
+            m_cluster.pause(victim);
+            return m_cluster.time.after(length, [this, victim] { m_cluster.resume(victim); });
         case Fault::CutOneWay:
         case Fault::CutBothWays: {
             const auto isBoth = m_fault == Fault::CutBothWays;
-            const auto isOut = isBoth || randomBelow(m_world.random, 2) == 0;
+            const auto isOut = isBoth || randomBelow(m_cluster.random, 2) == 0;
             cutAway(victim, isOut, isBoth || !isOut);
             break;
         }
@@ -240,27 +240,27 @@
                 network.cut(m_placement.primary.node, entry);
             break;
         case Fault::StoreDown:
-            m_world.store.isDown = true;
+            m_cluster.store.isDown = true;
             break;
         case Fault::StoreSlow:
-            m_world.store.isSlow = true;
+            m_cluster.store.isSlow = true;
             break;
         case Fault::StoreLostAnswer:
-            m_world.store.losesAnswers = true;
+            m_cluster.store.losesAnswers = true;
             break;
         case Fault::ConfigurationChange:
-            return m_world.changeHomes();
+            return m_cluster.changeHomes();
         case Fault::Restart:
-            m_world.kill(victim);
-            return m_world.time.after(ms(50), [this, victim] { m_world.restart(victim); });
+            m_cluster.kill(victim);
+            return m_cluster.time.after(ms(50), [this, victim] { m_cluster.restart(victim); });
         case Fault::BothLost:
             return loseBoth();
         case Fault::HandOverCrossing:
             return leave(m_placement.primary.node);
         }
-        m_world.time.after(length, [this] {
-            m_world.network.heal();
-            m_world.store.heal();
+        m_cluster.time.after(length, [this] {
+            m_cluster.network.heal();
+            m_cluster.store.heal();
         });
     }
 
@@ -268,114 +268,114 @@
     auto strikeAgain() -> void
     {
         const auto victim = anyMember();
-        switch (randomBelow(m_world.random, 3)) {
+        switch (randomBelow(m_cluster.random, 3)) {
         case 0:
-            return m_world.kill(victim);
+            return m_cluster.kill(victim);
         case 1:
-            m_world.kill(victim);
-            return m_world.time.after(ms(80), [this, victim] { m_world.restart(victim); });
+            m_cluster.kill(victim);
+            return m_cluster.time.after(ms(80), [this, victim] { m_cluster.restart(victim); });
         default:
-            return cutAway(victim, true, randomBelow(m_world.random, 2) == 0);
+            return cutAway(victim, true, randomBelow(m_cluster.random, 2) == 0);
         }
     }
 
     /// Cuts `victim` off from all others, from the rest of its domain, from the store, or from all but the entries.
     auto cutAway(const NodeId &victim, bool cutsOutgoing, bool cutsIncoming) -> void
     {
-        const auto kind = randomBelow(m_world.random, 4);
+        const auto kind = randomBelow(m_cluster.random, 4);
         const auto isCutFrom = [kind](const NodeId &other) {
             const auto isEntry = other.starts_with("entry");
             const auto isStore = other == "store";
             return kind == 0 || (kind == 1 && !isEntry && !isStore) || (kind == 2 && isStore)
                    || (kind == 3 && !isEntry);
         };
-        m_world.isolate(victim, isCutFrom, cutsOutgoing, cutsIncoming);
+        m_cluster.isolate(victim, isCutFrom, cutsOutgoing, cutsIncoming);
     }
 
     auto loseBoth() -> void
     {
         const auto primary = m_placement.primary.node;
         const auto witness = m_placement.witness.node;
-        switch (randomBelow(m_world.random, 3)) {
+        switch (randomBelow(m_cluster.random, 3)) {
         case 0: // Partition: both continue to serve everyone who reaches them.
-            for (const auto &[id, node] : m_world.nodes) {
+            for (const auto &[id, node] : m_cluster.nodes) {
                 const auto isInside = id == primary || id == witness || id == "entry-1";
                 if (!isInside)
-                    m_world.isolate(
+                    m_cluster.isolate(
                             id,
                             [&](const auto &other) {
                                 return other == primary || other == witness || other == "entry-1";
                             },
                             true, true);
             }
-            m_world.network.cut(primary, "store");
-            m_world.network.cut(witness, "store");
-            return m_world.time.after(ms(1500), [this] { m_world.network.heal(); });
+            m_cluster.network.cut(primary, "store");
+            m_cluster.network.cut(witness, "store");
+            return m_cluster.time.after(ms(1500), [this] { m_cluster.network.heal(); });
         case 1:
-            m_world.kill(primary);
-            m_world.kill(witness);
-            return m_world.time.after(ms(600), [this, primary, witness] {
-                m_world.restart(primary);
-                m_world.restart(witness);
+            m_cluster.kill(primary);
+            m_cluster.kill(witness);
+            return m_cluster.time.after(ms(600), [this, primary, witness] {
+                m_cluster.restart(primary);
+                m_cluster.restart(witness);
             });
         default:
-            m_world.kill(primary);
-            m_world.kill(witness);
-            return m_world.time.after(ms(600), [this, witness] { m_world.restart(witness); });
+            m_cluster.kill(primary);
+            m_cluster.kill(witness);
+            return m_cluster.time.after(ms(600), [this, witness] { m_cluster.restart(witness); });
         }
     }
 
     auto endFaults() -> void
     {
-        m_world.network.heal();
-        m_world.store.heal();
-        for (auto &[id, node] : m_world.nodes) {
+        m_cluster.network.heal();
+        m_cluster.store.heal();
+        for (auto &[id, node] : m_cluster.nodes) {
             if (node.isPaused)
-                m_world.resume(id);
+                m_cluster.resume(id);
         }
         // This is long enough to reassign a slot. Keys that were minted right after a change of homes are uncertain.
-        m_world.time.runUntil(m_world.time.now() + ms(1500));
+        m_cluster.time.runUntil(m_cluster.time.now() + ms(1500));
         m_freshKey = mint("centre/");
-        m_freshAttempt = m_world.begin(m_freshKey, 1, "entry-2", ms(1000));
-        m_world.time.after(ms(1100), [this] {
-            m_secondAttempt = m_world.begin(m_freshKey, 1, "entry-2", ms(1000));
+        m_freshAttempt = m_cluster.begin(m_freshKey, 1, "entry-2", ms(1000));
+        m_cluster.time.after(ms(1100), [this] {
+            m_secondAttempt = m_cluster.begin(m_freshKey, 1, "entry-2", ms(1000));
         });
     }
 
     auto judge() -> Verdict
     {
         auto verdict = Verdict();
-        verdict.violation = m_world.ledger.judge();
+        verdict.violation = m_cluster.ledger.judge();
         verdict.didStrike = m_didStrike;
         const auto ran = [&](std::uint64_t id) {
-            const auto outcome = m_world.outcomeOf(id);
+            const auto outcome = m_cluster.outcomeOf(id);
             // A dispatch may end without an answer or without having run, so a key that has run counts as well.
-            return m_world.hasEnded(id) && (outcome != Outcome::Unknown || hasRun(m_freshKey));
+            return m_cluster.hasEnded(id) && (outcome != Outcome::Unknown || hasRun(m_freshKey));
         };
         verdict.didRecover = ran(m_freshAttempt) || ran(m_secondAttempt);
         auto alive = 0;
-        for (const auto &[id, node] : m_world.nodes)
+        for (const auto &[id, node] : m_cluster.nodes)
             alive += node.domain == homeDomain && node.isAlive && !node.isLeaving ? 1 : 0;
-        const auto placement = m_world.placementOf(m_freshKey);
+        const auto placement = m_cluster.placementOf(m_freshKey);
         const auto isHere = [&](const Replica &it) {
-            const auto &node = m_world.nodes[it.node];
+            const auto &node = m_cluster.nodes[it.node];
             return node.isAlive && node.replica == it;
         };
         const auto isBlocked = !isHere(placement.primary) && !isHere(placement.witness);
         verdict.mayRecover = alive >= 2 && !isBlocked;
-        verdict.runs = static_cast<int>(m_world.ledger.runs.size());
+        verdict.runs = static_cast<int>(m_cluster.ledger.runs.size());
         return verdict;
     }
 
     auto hasRun(const std::string &key) const -> bool
     {
-        const auto &runs = m_world.ledger.runs;
+        const auto &runs = m_cluster.ledger.runs;
         return std::any_of(runs.begin(), runs.end(), [&](const auto &it) { return it.key == key; });
     }
 
     Fault m_fault;
     Step m_step;
-    World<Guards> m_world;
+    VirtualCluster<Guards> m_cluster;
     std::string m_key;
     std::string m_freshKey;
     std::uint64_t m_freshAttempt = 0;
--- a/tests/keyed/World.h
+++ b/tests/keyed/VirtualCluster.h
@@ -47,7 +47,7 @@
 
 /// Nodes of two failure domains, entries, callers, the store and the network, run in one thread with a virtual clock.
 template <typename Guards>
-class World
+class VirtualCluster
 {
 public:
     struct Node
@@ -76,7 +76,7 @@
         std::unique_ptr<KeyedRoute> route;
     };
 
-    explicit World(std::uint64_t seed)
+    explicit VirtualCluster(std::uint64_t seed)
         : random(seed)
         , network(random)
     {
--- a/tests/keyed/WorldEntries.h
+++ b/tests/keyed/VirtualClusterEntries.h
@@ -2,13 +2,14 @@
 
 // Member functions of VirtualCluster for callers and entries.
 
-#include "World.h"
+#include "VirtualCluster.h"
 
 namespace stairspur::keyed::test {
 
 template <typename Guards>
-auto World<Guards>::begin(const std::string &key, std::uint64_t fingerprint, const NodeId &entry,
-                          Duration patience, bool isQuery) -> std::uint64_t
+auto VirtualCluster<Guards>::begin(const std::string &key, std::uint64_t fingerprint,
+                                   const NodeId &entry, Duration patience, bool isQuery)
+        -> std::uint64_t
 {
     const auto id = ++m_lastAttempt;
     ledger.attempts[id] = {key, fingerprint, time.now()};
@@ -30,7 +31,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::handleAtEntry(Node &entry, const Message &message) -> void
+auto VirtualCluster<Guards>::handleAtEntry(Node &entry, const Message &message) -> void
 {
     if (const auto *notice = std::get_if<TableNotice>(&message.body)) {
         entry.tables.merge(notice->table);
@@ -48,7 +49,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::perform(std::uint64_t id, const RouteAction &action) -> void
+auto VirtualCluster<Guards>::perform(std::uint64_t id, const RouteAction &action) -> void
 {
     auto &attempt = m_attempts[id];
     const auto step = ++attempt.step;
@@ -99,7 +100,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::someNodeOf(const std::string &domain) -> NodeId
+auto VirtualCluster<Guards>::someNodeOf(const std::string &domain) -> NodeId
 {
     auto ids = std::vector<NodeId>();
     for (const auto &[id, node] : nodes) {
@@ -110,7 +111,8 @@
 }
 
 template <typename Guards>
-auto World<Guards>::end(std::uint64_t id, const RecordedAnswer &answer, bool isReplay) -> void
+auto VirtualCluster<Guards>::end(std::uint64_t id, const RecordedAnswer &answer, bool isReplay)
+        -> void
 {
     auto &attempt = m_attempts[id];
     if (attempt.hasEnded)
--- a/tests/keyed/WorldNodes.h
+++ b/tests/keyed/VirtualClusterNodes.h
@@ -2,13 +2,14 @@
 
 // Member functions of VirtualCluster for nodes: ticks, messages and calls to the store and to backend servers.
 
-#include "World.h"
+#include "VirtualCluster.h"
 
 namespace stairspur::keyed::test {
 
 template <typename Guards>
-auto World<Guards>::isolate(const NodeId &id, const std::function<bool(const NodeId &)> &isCutFrom,
-                            bool cutsOutgoing, bool cutsIncoming) -> void
+auto VirtualCluster<Guards>::isolate(const NodeId &id,
+                                     const std::function<bool(const NodeId &)> &isCutFrom,
+                                     bool cutsOutgoing, bool cutsIncoming) -> void
 {
     auto others = std::vector<NodeId>{"store"};
     for (const auto &[other, node] : nodes)
@@ -24,7 +25,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::changeHomes() -> void
+auto VirtualCluster<Guards>::changeHomes() -> void
 {
     for (auto &[id, node] : nodes) {
         const auto isIn = id;
@@ -40,7 +41,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::tick() -> void
+auto VirtualCluster<Guards>::tick() -> void
 {
     time.after(tickInterval, [this] { tick(); });
     for (auto &[id, node] : nodes) {
@@ -59,7 +60,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::listen(Node &node) -> void
+auto VirtualCluster<Guards>::listen(Node &node) -> void
 {
     for (const auto &[id, other] : nodes) {
         const auto isHeard = other.domain == node.domain && other.isAlive && !other.isPaused
@@ -70,7 +71,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::view(Node &node) -> std::vector<PlacementMember>
+auto VirtualCluster<Guards>::view(Node &node) -> std::vector<PlacementMember>
 {
     auto members = std::vector<PlacementMember>();
     for (const auto &[id, heard] : node.lastHeard) {
@@ -83,7 +84,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::carryOut(const NodeId &id, KeeperEffects effects) -> void
+auto VirtualCluster<Guards>::carryOut(const NodeId &id, KeeperEffects effects) -> void
 {
     auto &node = nodes[id];
     for (auto &it : effects.messages)
@@ -102,7 +103,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::transmit(const NodeId &from, Message message) -> void
+auto VirtualCluster<Guards>::transmit(const NodeId &from, Message message) -> void
 {
     const auto to = message.to.node;
     if (std::holds_alternative<SnapshotOffer>(message.body)) {
@@ -119,7 +120,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::stepOf(const Message &message) -> std::pair<Step, std::string>
+auto VirtualCluster<Guards>::stepOf(const Message &message) -> std::pair<Step, std::string>
 {
     if (const auto *submit = std::get_if<Submit>(&message.body)) {
         const auto isRetry = attemptsAt(submit->key) > 1;
@@ -135,7 +136,8 @@
 }
 
 template <typename Guards>
-auto World<Guards>::deliver(const NodeId &from, const NodeId &to, const Message &message) -> void
+auto VirtualCluster<Guards>::deliver(const NodeId &from, const NodeId &to, const Message &message)
+        -> void
 {
     const auto [step, key] = stepOf(message);
     if (!key.empty())
@@ -149,7 +151,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::handle(const NodeId &to, const Message &message) -> void
+auto VirtualCluster<Guards>::handle(const NodeId &to, const Message &message) -> void
 {
     auto &node = nodes[to];
     if (!node.keeper)
@@ -164,7 +166,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::dispatch(const NodeId &id, SlotDispatch dispatch) -> void
+auto VirtualCluster<Guards>::dispatch(const NodeId &id, SlotDispatch dispatch) -> void
 {
     const auto key = dispatch.order.key;
     const auto life = m_lives[id];
@@ -178,7 +180,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::execute(const NodeId &id, const SlotDispatch &dispatch) -> void
+auto VirtualCluster<Guards>::execute(const NodeId &id, const SlotDispatch &dispatch) -> void
 {
     const auto fate = randomBelow(random, 100);
     auto end = DispatchResult();
@@ -214,7 +216,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::read(const NodeId &id) -> void
+auto VirtualCluster<Guards>::read(const NodeId &id) -> void
 {
     const auto domain = nodes[id].domain;
     callStore(
@@ -228,7 +230,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::write(const NodeId &id, const TableWrite &write) -> void
+auto VirtualCluster<Guards>::write(const NodeId &id, const TableWrite &write) -> void
 {
     const auto domain = nodes[id].domain;
     reach(Step::CompareAndSwap, "", false);
