--- a/tests/keyed/FaultMatrix.h
+++ b/tests/keyed/FaultMatrix.h
@@ -136,7 +136,7 @@
     }
 
     /// Retries as a caller that repeats its call immediately after `not-run`.
-    auto retryAtOnce(const SeenAttempt &attempt) -> void
+    auto retryAtOnce(const ObservedAttempt &attempt) -> void
     {
         const auto isTold = attempt.answer.outcome == Outcome::NotRun
                             && attempt.answer.reason != Reason::BadRequest;
@@ -345,7 +345,7 @@
     auto judge() -> Verdict
     {
         auto verdict = Verdict();
-        verdict.violation = m_cluster.ledger.judge();
+        verdict.violation = m_cluster.checker.findViolation();
         verdict.didStrike = m_didStrike;
         const auto ran = [&](std::uint64_t id) {
             const auto outcome = m_cluster.outcomeOf(id);
@@ -363,13 +363,13 @@
         };
         const auto isBlocked = !isHere(placement.primary) && !isHere(placement.witness);
         verdict.mayRecover = alive >= 2 && !isBlocked;
-        verdict.runs = static_cast<int>(m_cluster.ledger.runs.size());
+        verdict.runs = static_cast<int>(m_cluster.checker.runs.size());
         return verdict;
     }
 
     auto hasRun(const std::string &key) const -> bool
     {
-        const auto &runs = m_cluster.ledger.runs;
+        const auto &runs = m_cluster.checker.runs;
         return std::any_of(runs.begin(), runs.end(), [&](const auto &it) { return it.key == key; });
     }
 
--- a/tests/keyed/Ledger.h
+++ b/tests/keyed/InvariantChecker.h
@@ -12,7 +12,7 @@
 namespace stairspur::keyed::test {
 
 /// One attempt as its caller observes it.
-struct SeenAttempt
+struct ObservedAttempt
 {
     std::string key;
     std::uint64_t fingerprint = 0;
@@ -23,7 +23,7 @@
 };
 
 /// One execution in a backend server.
-struct SeenRun
+struct ObservedRun
 {
     std::string key;
     std::uint64_t fingerprint = 0;
@@ -33,13 +33,13 @@
 };
 
 /// Records all attempts and runs, and checks them against the invariants.
-struct Ledger
+struct InvariantChecker
 {
-    std::map<std::uint64_t, SeenAttempt> attempts;
-    std::vector<SeenRun> runs;
+    std::map<std::uint64_t, ObservedAttempt> attempts;
+    std::vector<ObservedRun> runs;
 
     /// Returns the first violation, or an empty string.
-    [[nodiscard]] auto judge() const -> std::string
+    [[nodiscard]] auto findViolation() const -> std::string
     {
         auto counts = std::map<std::string, int>();
         for (const auto &it : runs) {
@@ -47,15 +47,15 @@
                 return "key " + it.key + " ran twice";
         }
         for (const auto &[id, it] : attempts) {
-            auto verdict = std::string();
+            auto violation = std::string();
             if (it.end == TimePoint::max())
                 continue;
             if (it.answer.outcome == Outcome::NotRun)
-                verdict = judgeNotRun(id, it);
+                violation = violationOfNotRun(id, it);
             if (it.answer.outcome == Outcome::Answered || it.answer.outcome == Outcome::Failed)
-                verdict = judgeAnswer(it);
-            if (!verdict.empty())
-                return verdict;
+                violation = violationOfAnswer(it);
+            if (!violation.empty())
+                return violation;
         }
         return {};
     }
@@ -64,7 +64,7 @@
     /// Returns the violation of a `not-run` answer, or an empty string. `not-run` means that at some moment of this
     /// attempt the request had not run, and that no attempt that had ended before can still run it. Only a concurrent
     /// or a later attempt may run it.
-    [[nodiscard]] auto judgeNotRun(std::uint64_t id, const SeenAttempt &attempt) const
+    [[nodiscard]] auto violationOfNotRun(std::uint64_t id, const ObservedAttempt &attempt) const
             -> std::string
     {
         for (const auto &run : runs) {
@@ -85,16 +85,16 @@
         return {};
     }
 
-    [[nodiscard]] auto judgeAnswer(const SeenAttempt &attempt) const -> std::string
+    [[nodiscard]] auto violationOfAnswer(const ObservedAttempt &attempt) const -> std::string
     {
         const auto it = std::find_if(runs.begin(), runs.end(), [&](const auto &run) {
             return run.key == attempt.key && run.fingerprint == attempt.fingerprint;
         });
         if (it == runs.end())
             return "key " + attempt.key + " was answered without having run this request";
-        const auto isTruthfullyShortened =
+        const auto isReplayWithoutPayload =
                 attempt.isReplay && !attempt.answer.isPayloadKept && attempt.answer.payload.empty();
-        if (attempt.answer.payload != it->payload && !isTruthfullyShortened)
+        if (attempt.answer.payload != it->payload && !isReplayWithoutPayload)
             return "key " + attempt.key + " got a different answer than its run returned";
         return {};
     }
--- a/tests/keyed/VirtualCluster.h
+++ b/tests/keyed/VirtualCluster.h
@@ -11,7 +11,7 @@
 #include <stairspur/keyed/KeyedRoute.h>
 #include <stairspur/keyed/PlacementKeeperCode.h>
 
-#include "Ledger.h"
+#include "InvariantChecker.h"
 #include "VirtualNetwork.h"
 #include "VirtualStore.h"
 
@@ -93,12 +93,12 @@
     VirtualTime time;
     VirtualNetwork network;
     VirtualStore store;
-    Ledger ledger;
+    InvariantChecker checker;
     std::map<NodeId, Node> nodes;
     std::uint64_t notRunPercent = 15;  ///< Share of the dispatches whose backend server is busy.
     std::uint64_t longestRun = 60'000; ///< Maximum run time in microseconds.
     /// Callback when an attempt has ended.
-    std::function<void(const SeenAttempt &)> didEnd;
+    std::function<void(const ObservedAttempt &)> didEnd;
     /// Callback before and after each step of a key.
     std::function<void(Step, const std::string &key, bool isAfter)> didReach;
 
@@ -154,7 +154,7 @@
     [[nodiscard]] auto hasEnded(std::uint64_t id) -> bool { return m_attempts[id].hasEnded; }
     [[nodiscard]] auto outcomeOf(std::uint64_t id) -> Outcome
     {
-        return ledger.attempts[id].answer.outcome;
+        return checker.attempts[id].answer.outcome;
     }
 
     /// Returns the placement of the slot of `key` in the store.
@@ -257,7 +257,7 @@
 
     auto attemptsAt(const std::string &key) const -> long
     {
-        return std::count_if(ledger.attempts.begin(), ledger.attempts.end(),
+        return std::count_if(checker.attempts.begin(), checker.attempts.end(),
                              [&](const auto &it) { return it.second.key == key; });
     }
 
--- a/tests/keyed/VirtualClusterEntries.h
+++ b/tests/keyed/VirtualClusterEntries.h
@@ -12,7 +12,7 @@
         -> std::uint64_t
 {
     const auto id = ++m_lastAttempt;
-    ledger.attempts[id] = {key, fingerprint, time.now()};
+    checker.attempts[id] = {key, fingerprint, time.now()};
     auto &attempt = m_attempts[id];
     attempt.id = id;
     attempt.entry = entry;
@@ -118,7 +118,7 @@
     if (attempt.hasEnded)
         return;
     attempt.hasEnded = true;
-    auto &seen = ledger.attempts[id];
+    auto &seen = checker.attempts[id];
     seen.end = time.now();
     seen.answer = answer;
     seen.isReplay = isReplay;
--- a/tests/keyed/VirtualClusterNodes.h
+++ b/tests/keyed/VirtualClusterNodes.h
@@ -186,19 +186,19 @@
     auto end = DispatchResult();
     end.didNotRun = randomBelow(random, 100) < notRunPercent;
     if (!end.didNotRun) {
-        auto run = SeenRun{dispatch.order.key, 0, time.now()};
+        auto run = ObservedRun{dispatch.order.key, 0, time.now()};
         for (const auto &waiter : dispatch.order.waiters) {
             run.attempts.push_back(waiter.number / stepsPerAttempt);
-            run.fingerprint = ledger.attempts[run.attempts.back()].fingerprint;
+            run.fingerprint = checker.attempts[run.attempts.back()].fingerprint;
         }
-        run.payload = "run " + std::to_string(ledger.runs.size()) + " of " + run.key;
+        run.payload = "run " + std::to_string(checker.runs.size()) + " of " + run.key;
         if (fate < 25)
             run.payload.resize(2 * maxPayload, '.');
         end.answer = {fate < 90 ? Outcome::Answered : Outcome::Failed};
         end.answer.payload = run.payload;
         if (fate >= 97)
             end.answer = unknownAnswer();
-        ledger.runs.push_back(std::move(run));
+        checker.runs.push_back(std::move(run));
     }
     const auto life = m_lives[id];
     time.after(Duration(randomBelow(random, longestRun)), [this, id, dispatch, end, life] {
