--- a/tests/keyed/KeyedBench.h
+++ b/tests/keyed/KeyedFixture.h
@@ -86,12 +86,12 @@
 };
 
 /// Three nodes of one service in one domain, an entry and a store, with real coroutines and timers but without sockets.
-class KeyedBench
+class KeyedFixture
 {
 public:
     using Service = KeyedService<FakeStore, FakePeers>;
 
-    KeyedBench()
+    KeyedFixture()
     {
         auto view = std::make_shared<membership::MembershipView>();
         auto configuration = std::make_shared<config::VersionedConfiguration>();
--- a/tests/keyed/TestKeyedService.cpp
+++ b/tests/keyed/TestKeyedService.cpp
@@ -1,6 +1,6 @@
 #include <criterion/criterion.h>
 
-#include "KeyedBench.h"
+#include "KeyedFixture.h"
 
 using namespace stairspur;
 using namespace stairspur::keyed;
@@ -27,11 +27,11 @@
 
 Test(KeyedService, secondCallWithSameKeyReplaysFirstAnswer)
 {
-    auto bench = KeyedBench();
-    bench.nextAnswer = answered("order 1");
-    const auto first = bench.route("key-1", "two soups");
-    bench.nextAnswer = answered("order 2");
-    const auto second = bench.route("key-1", "two soups");
+    auto fixture = KeyedFixture();
+    fixture.nextAnswer = answered("order 1");
+    const auto first = fixture.route("key-1", "two soups");
+    fixture.nextAnswer = answered("order 2");
+    const auto second = fixture.route("key-1", "two soups");
     for (const auto &it : {first, second}) {
         cr_assert_eq(it.outcome, Outcome::Answered);
         cr_assert_eq(it.status, 201);
@@ -39,101 +39,101 @@
         cr_assert_eq(it.headers.find("Location"), "/orders/1");
         cr_assert_not(it.headers.contains(KeyedHeader));
     }
-    cr_assert_eq(bench.dispatches, 1);
-    cr_assert_not(bench.router->resolve("order-intake", "key-1", "kitchen").empty());
+    cr_assert_eq(fixture.dispatches, 1);
+    cr_assert_not(fixture.router->resolve("order-intake", "key-1", "kitchen").empty());
 }
 
 Test(KeyedService, differentRequestWithRecordedKeyIsRefused)
 {
-    auto bench = KeyedBench();
-    bench.nextAnswer = answered("order 1");
-    bench.route("key-1", "two soups");
-    const auto other = bench.route("key-1", "three soups");
+    auto fixture = KeyedFixture();
+    fixture.nextAnswer = answered("order 1");
+    fixture.route("key-1", "two soups");
+    const auto other = fixture.route("key-1", "three soups");
     cr_assert_eq(other.outcome, Outcome::NotRun);
     cr_assert_eq(other.status, 422);
-    cr_assert_eq(bench.dispatches, 1);
+    cr_assert_eq(fixture.dispatches, 1);
 }
 
 Test(KeyedService, callMayBeRetriedAfterProvenNotRun)
 {
-    auto bench = KeyedBench();
-    bench.nextAnswer = refused();
-    const auto first = bench.route("key-1");
+    auto fixture = KeyedFixture();
+    fixture.nextAnswer = refused();
+    const auto first = fixture.route("key-1");
     cr_assert_eq(first.outcome, Outcome::NotRun);
     cr_assert_eq(first.reason, Reason::QueueFull);
     cr_assert_not(first.wasDispatched);
-    bench.nextAnswer = answered("order 1");
-    cr_assert_eq(bench.route("key-1").body, "order 1");
-    cr_assert_eq(bench.dispatches, 2);
+    fixture.nextAnswer = answered("order 1");
+    cr_assert_eq(fixture.route("key-1").body, "order 1");
+    cr_assert_eq(fixture.dispatches, 2);
 }
 
 Test(KeyedService, lostAnswerStaysUnknown)
 {
-    auto bench = KeyedBench();
-    bench.nextAnswer = transport::CallAnswer();
-    cr_assert_eq(bench.route("key-1").outcome, Outcome::Unknown);
-    bench.nextAnswer = answered("order 1");
-    cr_assert_eq(bench.route("key-1").outcome, Outcome::Unknown);
-    cr_assert_eq(bench.dispatches, 1);
+    auto fixture = KeyedFixture();
+    fixture.nextAnswer = transport::CallAnswer();
+    cr_assert_eq(fixture.route("key-1").outcome, Outcome::Unknown);
+    fixture.nextAnswer = answered("order 1");
+    cr_assert_eq(fixture.route("key-1").outcome, Outcome::Unknown);
+    cr_assert_eq(fixture.dispatches, 1);
 }
 
 Test(KeyedService, largeAnswerIsReturnedOnceAndReplayedAsTooLarge)
 {
-    auto bench = KeyedBench();
+    auto fixture = KeyedFixture();
     const auto body = std::string(100'000, 'x');
-    bench.nextAnswer = answered(body);
-    cr_assert_eq(bench.route("key-1").body, body);
-    const auto second = bench.route("key-1");
+    fixture.nextAnswer = answered(body);
+    cr_assert_eq(fixture.route("key-1").body, body);
+    const auto second = fixture.route("key-1");
     cr_assert_eq(second.outcome, Outcome::Unknown);
     cr_assert_eq(second.reason, Reason::TooLarge);
     cr_assert_eq(second.headers.find(RecordedStatusHeader), "201");
-    cr_assert_eq(bench.dispatches, 1);
+    cr_assert_eq(fixture.dispatches, 1);
 }
 
 Test(KeyedService, callsAreAnsweredWhileStoreIsDown)
 {
-    auto bench = KeyedBench();
-    bench.nextAnswer = answered("order");
-    bench.route("key-1");
-    bench.store.isDown = true;
+    auto fixture = KeyedFixture();
+    fixture.nextAnswer = answered("order");
+    fixture.route("key-1");
+    fixture.store.isDown = true;
     for (int n = 2; n < 10; ++n)
-        cr_assert_eq(bench.route("key-" + std::to_string(n)).outcome, Outcome::Answered);
-    cr_assert_eq(bench.dispatches, 9);
+        cr_assert_eq(fixture.route("key-" + std::to_string(n)).outcome, Outcome::Answered);
+    cr_assert_eq(fixture.dispatches, 9);
 }
 
 Test(KeyedService, queryRunsNothing)
 {
-    auto bench = KeyedBench();
-    bench.nextAnswer = answered("order 1");
-    cr_assert_eq(bench.route("key-1", "soup", true).outcome, Outcome::NotRun);
-    cr_assert_eq(bench.dispatches, 0);
-    cr_assert_eq(bench.route("key-1", "soup").body, "order 1");
-    cr_assert_eq(bench.route("key-1", "soup", true).body, "order 1");
-    cr_assert_eq(bench.dispatches, 1);
+    auto fixture = KeyedFixture();
+    fixture.nextAnswer = answered("order 1");
+    cr_assert_eq(fixture.route("key-1", "soup", true).outcome, Outcome::NotRun);
+    cr_assert_eq(fixture.dispatches, 0);
+    cr_assert_eq(fixture.route("key-1", "soup").body, "order 1");
+    cr_assert_eq(fixture.route("key-1", "soup", true).body, "order 1");
+    cr_assert_eq(fixture.dispatches, 1);
 }
 
 Test(KeyedService, callWithoutValidHeaderRunsNothing)
 {
-    auto bench = KeyedBench();
-    auto &service = *bench.services.begin()->second;
+    auto fixture = KeyedFixture();
+    auto &service = *fixture.services.begin()->second;
     for (const auto *header : {"", "zz", "80", "a"}) {
         auto request = transport::CallRequest();
         request.headers.set(std::string(KeyedHeader), header);
-        const auto answer = bench.run(service.handle(request, nullptr));
+        const auto answer = fixture.run(service.handle(request, nullptr));
         cr_assert_eq(answer.outcome, Outcome::Unknown);
         cr_assert_eq(answer.reason, Reason::WrongPlacement);
     }
-    cr_assert_eq(bench.dispatches, 0);
+    cr_assert_eq(fixture.dispatches, 0);
 }
 
 Test(KeyedService, witnessTakesOverFromUnreachablePrimaryThatIsAliveInMembership)
 {
-    auto bench = KeyedBench();
-    bench.nextAnswer = answered("order 1");
-    bench.route("key-1", "two soups"); // The entry caches the placements.
-    const auto primary = bench.router->resolve("order-intake", "key-2", "kitchen");
-    bench.handlers.erase(primary);
-    cr_assert_eq(bench.route("key-2", "one soup").outcome, Outcome::Answered);
-    cr_assert_neq(bench.router->resolve("order-intake", "key-2", "kitchen"), primary);
-    cr_assert_eq(bench.dispatches, 2);
+    auto fixture = KeyedFixture();
+    fixture.nextAnswer = answered("order 1");
+    fixture.route("key-1", "two soups"); // The entry caches the placements.
+    const auto primary = fixture.router->resolve("order-intake", "key-2", "kitchen");
+    fixture.handlers.erase(primary);
+    cr_assert_eq(fixture.route("key-2", "one soup").outcome, Outcome::Answered);
+    cr_assert_neq(fixture.router->resolve("order-intake", "key-2", "kitchen"), primary);
+    cr_assert_eq(fixture.dispatches, 2);
 }
