--- a/tests/keyed/FaultMatrix.h
+++ b/tests/keyed/FaultMatrix.h
@@ -54,11 +54,11 @@
 }
 
 /// The result of one interleaving.
-struct Verdict
+struct ScenarioResult
 {
-    std::string violation;   ///< The first violated invariant; empty if all hold.
-    bool didStrike = false;  ///< Whether the step was reached and the fault injected.
-    bool didRecover = false; ///< Whether a new key was answered after all faults had ended.
+    std::string violation;    ///< The first violated invariant; empty if all hold.
+    bool wasInjected = false; ///< Whether the step was reached and the fault injected.
+    bool didRecover = false;  ///< Whether a new key was answered after all faults had ended.
     /// False if the slot waits for a proof that this scenario doesn't provide.
     bool mayRecover = true;
     int runs = 0;
@@ -76,7 +76,7 @@
         , m_cluster(seed * 977 + std::uint64_t(fault) * 31 + std::uint64_t(step))
     {}
 
-    auto run() -> Verdict
+    auto run() -> ScenarioResult
     {
         m_cluster.time.runUntil(TimePoint(ms(1200))); // The first placement is written by then.
         const auto shape = randomBelow(m_cluster.random, 3);
@@ -84,23 +84,23 @@
                            : mint(shape == 2 ? "centre/" : "");
         m_placement = m_cluster.placementOf(m_key);
         m_cluster.didReach = [this](Step step, const std::string &key, bool isAfter) {
-            strikeAt(step, key, isAfter);
+            injectAt(step, key, isAfter);
         };
         if (randomBelow(m_cluster.random, 3) == 0)
             m_cluster.notRunPercent = 70;
         if (randomBelow(m_cluster.random, 3) == 0)
-            m_cluster.longestRun = 500'000;
+            m_cluster.maxRunTime = 500'000;
         if (randomBelow(m_cluster.random, 2) == 0)
-            m_cluster.didEnd = [this](const auto &attempt) { retryAtOnce(attempt); };
-        m_strikesAfter = randomBelow(m_cluster.random, 2) == 0;
+            m_cluster.didEnd = [this](const auto &attempt) { retryImmediately(attempt); };
+        m_injectsAfterStep = randomBelow(m_cluster.random, 2) == 0;
         m_skippedOccasions = static_cast<int>(randomBelow(m_cluster.random, 3));
         scheduleAttempts();
-        disturb();
-        m_cluster.time.after(ms(700), [this] { strikeAnyway(); });
+        changePlacement();
+        m_cluster.time.after(ms(700), [this] { stopSkipping(); });
         m_cluster.time.runUntil(m_cluster.time.now() + ms(4200));
         endFaults();
         m_cluster.time.runUntil(m_cluster.time.now() + ms(2500));
-        return judge();
+        return evaluate();
     }
 
 private:
@@ -129,18 +129,18 @@
     {
         m_cluster.time.after(delay, [this, key, fingerprint] {
             const auto entry = "entry-" + std::to_string(1 + randomBelow(m_cluster.random, 3));
-            const auto patience = Duration(200'000 + randomBelow(m_cluster.random, 700'000));
+            const auto timeout = Duration(200'000 + randomBelow(m_cluster.random, 700'000));
             const auto isQuery = randomBelow(m_cluster.random, 6) == 0;
-            m_cluster.begin(key, fingerprint, entry, patience, isQuery);
+            m_cluster.begin(key, fingerprint, entry, timeout, isQuery);
         });
     }
 
     /// Retries as a caller that repeats its call immediately after `not-run`.
-    auto retryAtOnce(const ObservedAttempt &attempt) -> void
+    auto retryImmediately(const ObservedAttempt &attempt) -> void
     {
-        const auto isTold = attempt.answer.outcome == Outcome::NotRun
-                            && attempt.answer.reason != Reason::BadRequest;
-        if (isTold && m_retries++ < maxRetries)
+        const auto isNotRun = attempt.answer.outcome == Outcome::NotRun
+                              && attempt.answer.reason != Reason::BadRequest;
+        if (isNotRun && m_retries++ < maxRetries)
             attemptAfter(Duration(randomBelow(m_cluster.random, 30'000)), attempt.key,
                          attempt.fingerprint);
     }
@@ -157,7 +157,7 @@
     }
 
     /// Causes the change of placement without which the scenario's step isn't reached.
-    auto disturb() -> void
+    auto changePlacement() -> void
     {
         const auto delay = Duration(randomBelow(m_cluster.random, 400'000));
         if (m_step == Step::HandOver)
@@ -174,7 +174,7 @@
             m_cluster.time.after(delay + ms(1100), [this, victim] { m_cluster.resume(victim); });
             break;
         default:
-            m_cluster.time.after(delay, [this, victim] { cutAway(victim, true, true); });
+            m_cluster.time.after(delay, [this, victim] { cutOff(victim, true, true); });
             break;
         }
     }
@@ -188,27 +188,27 @@
     }
 
     /// Injects the fault if `step` of `key` is the selected occasion.
-    auto strikeAt(Step step, const std::string &key, bool isAfter) -> void
+    auto injectAt(Step step, const std::string &key, bool isAfter) -> void
     {
         const auto isAimedAt = step == m_step && (key.empty() || key == m_key);
-        if (m_didStrike || !isAimedAt || (isAfter != m_strikesAfter && step != Step::Forget)
+        if (m_wasInjected || !isAimedAt || (isAfter != m_injectsAfterStep && step != Step::Forget)
             || (m_skippedOccasions-- > 0 && step != Step::CompareAndSwap))
             return;
-        strike();
+        inject();
     }
 
-    auto strikeAnyway() -> void
+    auto stopSkipping() -> void
     {
         m_skippedOccasions = 0; // The next occasion is used.
     }
 
-    auto strike() -> void
+    auto inject() -> void
     {
-        m_didStrike = true;
+        m_wasInjected = true;
         m_placement = m_cluster.placementOf(m_key);
         if (randomBelow(m_cluster.random, 2) == 0)
             m_cluster.time.after(Duration(randomBelow(m_cluster.random, 800'000)),
-                                 [this] { strikeAgain(); });
+                                 [this] { injectSecondFault(); });
         const auto victim = anyMember();
         const auto length = ms(150 + static_cast<long long>(randomBelow(m_cluster.random, 1200)));
         auto &network = m_cluster.network;
@@ -222,7 +222,7 @@
         case Fault::CutBothWays: {
             const auto isBoth = m_fault == Fault::CutBothWays;
             const auto isOut = isBoth || randomBelow(m_cluster.random, 2) == 0;
-            cutAway(victim, isOut, isBoth || !isOut);
+            cutOff(victim, isOut, isBoth || !isOut);
             break;
         }
         case Fault::Slow:
@@ -265,7 +265,7 @@
     }
 
     /// Injects a second fault: a member of the pair is lost as well.
-    auto strikeAgain() -> void
+    auto injectSecondFault() -> void
     {
         const auto victim = anyMember();
         switch (randomBelow(m_cluster.random, 3)) {
@@ -275,12 +275,12 @@
             m_cluster.kill(victim);
             return m_cluster.time.after(ms(80), [this, victim] { m_cluster.restart(victim); });
         default:
-            return cutAway(victim, true, randomBelow(m_cluster.random, 2) == 0);
+            return cutOff(victim, true, randomBelow(m_cluster.random, 2) == 0);
         }
     }
 
     /// Cuts `victim` off from all others, from the rest of its domain, from the store, or from all but the entries.
-    auto cutAway(const NodeId &victim, bool cutsOutgoing, bool cutsIncoming) -> void
+    auto cutOff(const NodeId &victim, bool cutsOutgoing, bool cutsIncoming) -> void
     {
         const auto kind = randomBelow(m_cluster.random, 4);
         const auto isCutFrom = [kind](const NodeId &other) {
@@ -335,36 +335,36 @@
         }
         // This is long enough to reassign a slot. Keys that were minted right after a change of homes are uncertain.
         m_cluster.time.runUntil(m_cluster.time.now() + ms(1500));
-        m_freshKey = mint("centre/");
-        m_freshAttempt = m_cluster.begin(m_freshKey, 1, "entry-2", ms(1000));
+        m_newKey = mint("centre/");
+        m_firstAttempt = m_cluster.begin(m_newKey, 1, "entry-2", ms(1000));
         m_cluster.time.after(ms(1100), [this] {
-            m_secondAttempt = m_cluster.begin(m_freshKey, 1, "entry-2", ms(1000));
+            m_secondAttempt = m_cluster.begin(m_newKey, 1, "entry-2", ms(1000));
         });
     }
 
-    auto judge() -> Verdict
+    auto evaluate() -> ScenarioResult
     {
-        auto verdict = Verdict();
-        verdict.violation = m_cluster.checker.findViolation();
-        verdict.didStrike = m_didStrike;
+        auto result = ScenarioResult();
+        result.violation = m_cluster.checker.findViolation();
+        result.wasInjected = m_wasInjected;
         const auto ran = [&](std::uint64_t id) {
             const auto outcome = m_cluster.outcomeOf(id);
             // A dispatch may end without an answer or without having run, so a key that has run counts as well.
-            return m_cluster.hasEnded(id) && (outcome != Outcome::Unknown || hasRun(m_freshKey));
+            return m_cluster.hasEnded(id) && (outcome != Outcome::Unknown || hasRun(m_newKey));
         };
-        verdict.didRecover = ran(m_freshAttempt) || ran(m_secondAttempt);
+        result.didRecover = ran(m_firstAttempt) || ran(m_secondAttempt);
         auto alive = 0;
         for (const auto &[id, node] : m_cluster.nodes)
             alive += node.domain == homeDomain && node.isAlive && !node.isLeaving ? 1 : 0;
-        const auto placement = m_cluster.placementOf(m_freshKey);
-        const auto isHere = [&](const Replica &it) {
+        const auto placement = m_cluster.placementOf(m_newKey);
+        const auto isRunning = [&](const Replica &it) {
             const auto &node = m_cluster.nodes[it.node];
             return node.isAlive && node.replica == it;
         };
-        const auto isBlocked = !isHere(placement.primary) && !isHere(placement.witness);
-        verdict.mayRecover = alive >= 2 && !isBlocked;
-        verdict.runs = static_cast<int>(m_cluster.checker.runs.size());
-        return verdict;
+        const auto isBlocked = !isRunning(placement.primary) && !isRunning(placement.witness);
+        result.mayRecover = alive >= 2 && !isBlocked;
+        result.runs = static_cast<int>(m_cluster.checker.runs.size());
+        return result;
     }
 
     auto hasRun(const std::string &key) const -> bool
@@ -377,12 +377,12 @@
     Step m_step;
     VirtualCluster<Guards> m_cluster;
     std::string m_key;
-    std::string m_freshKey;
-    std::uint64_t m_freshAttempt = 0;
+    std::string m_newKey;
+    std::uint64_t m_firstAttempt = 0;
     std::uint64_t m_secondAttempt = 0;
     SlotPlacement m_placement;
-    bool m_didStrike = false;
-    bool m_strikesAfter = false;
+    bool m_wasInjected = false;
+    bool m_injectsAfterStep = false;
     int m_skippedOccasions = 0;
     int m_retries = 0;
     static constexpr auto maxRetries = 12;
--- a/tests/keyed/TestFaultMatrix.cpp
+++ b/tests/keyed/TestFaultMatrix.cpp
@@ -22,18 +22,17 @@
     auto row = std::string(nameOf(fault));
     for (std::size_t index = 0; index < stepCount; ++index) {
         const auto step = static_cast<Step>(index);
-        auto struck = 0;
+        auto injected = 0;
         for (std::uint64_t seed = 1; seed <= seedsPerCell(); ++seed) {
-            const auto verdict = Scenario<keyed::StandardGuards>(fault, step, seed).run();
-            struck += verdict.didStrike ? 1 : 0;
+            const auto result = Scenario<keyed::StandardGuards>(fault, step, seed).run();
+            injected += result.wasInjected ? 1 : 0;
             const auto where = row.substr(0, row.find(' ')) + " at " + std::string(nameOf(step))
                                + ", seed " + std::to_string(seed);
-            cr_expect(verdict.violation.empty(), "%s: %s", where.c_str(),
-                      verdict.violation.c_str());
-            cr_expect(verdict.didRecover || !verdict.mayRecover, "%s: no recovery", where.c_str());
+            cr_expect(result.violation.empty(), "%s: %s", where.c_str(), result.violation.c_str());
+            cr_expect(result.didRecover || !result.mayRecover, "%s: no recovery", where.c_str());
         }
-        row += " | " + std::to_string(struck);
-        cr_expect(struck > 0, "%s was never injected", row.c_str());
+        row += " | " + std::to_string(injected);
+        cr_expect(injected > 0, "%s was never injected", row.c_str());
     }
     printRow("| " + row + " |");
 }
--- a/tests/keyed/TestKeyedMessages.cpp
+++ b/tests/keyed/TestKeyedMessages.cpp
@@ -51,10 +51,10 @@
 {
     for (const auto &body : everyBody()) {
         const auto bytes = encodeMessage(wrap(body));
-        const auto again = decodeMessage(bytes);
-        cr_assert_eq(again.body.index(), body.index());
-        cr_assert_eq(again.slot, 3);
-        cr_assert_eq(encodeMessage(again), bytes, "kind %zu", body.index());
+        const auto decoded = decodeMessage(bytes);
+        cr_assert_eq(decoded.body.index(), body.index());
+        cr_assert_eq(decoded.slot, 3);
+        cr_assert_eq(encodeMessage(decoded), bytes, "kind %zu", body.index());
     }
 }
 
--- a/tests/keyed/TestMutants.cpp
+++ b/tests/keyed/TestMutants.cpp
@@ -6,24 +6,24 @@
 using namespace stairspur::keyed;
 using namespace stairspur::keyed::test;
 
-static constexpr auto mostSeeds = std::uint64_t{20};
+static constexpr auto maxSeeds = std::uint64_t{20};
 
 /// Expects that the matrix finds a violation with `Guards`, which disables a single guard.
 template <typename Guards>
-static auto expectCaught(const char *name) -> void
+static auto expectViolation(const char *name) -> void
 {
     auto n = 0;
-    for (std::uint64_t seed = 1; seed <= mostSeeds; ++seed) {
+    for (std::uint64_t seed = 1; seed <= maxSeeds; ++seed) {
         for (std::size_t cell = 0; cell < faultCount * stepCount; ++cell) {
             const auto fault = static_cast<Fault>(cell / stepCount);
             const auto step = static_cast<Step>(cell % stepCount);
             ++n;
-            const auto verdict = Scenario<Guards>(fault, step, seed).run();
-            if (verdict.violation.empty())
+            const auto result = Scenario<Guards>(fault, step, seed).run();
+            if (result.violation.empty())
                 continue;
             printRow("| " + std::string(name) + " | " + std::string(nameOf(fault)) + " at "
                      + std::string(nameOf(step)) + ", seed " + std::to_string(seed) + " | "
-                     + verdict.violation + " | " + std::to_string(n) + " |");
+                     + result.violation + " | " + std::to_string(n) + " |");
             return;
         }
     }
@@ -37,7 +37,7 @@
     }; \
     Test(Mutants, guard) \
     { \
-        expectCaught<No##guard>(#guard); \
+        expectViolation<No##guard>(#guard); \
     }
 
 MUTANT(DispatchNeedsAck)
--- a/tests/keyed/VirtualCluster.h
+++ b/tests/keyed/VirtualCluster.h
@@ -60,7 +60,7 @@
         long long skew = 0; ///< Offset of the node's wall clock in milliseconds.
         std::unique_ptr<PlacementKeeper<Guards>> keeper; ///< Null for an entry.
         std::deque<Action> backlog; ///< Actions that arrived while the node was paused.
-        std::map<std::string, std::pair<Incarnation, TimePoint>> lastHeard;
+        std::map<std::string, std::pair<Incarnation, TimePoint>> lastSeen;
         TableCache tables;
         std::string callerHome = homeDomain;
     };
@@ -96,7 +96,7 @@
     InvariantChecker checker;
     std::map<NodeId, Node> nodes;
     std::uint64_t notRunPercent = 15;  ///< Share of the dispatches whose backend server is busy.
-    std::uint64_t longestRun = 60'000; ///< Maximum run time in microseconds.
+    std::uint64_t maxRunTime = 60'000; ///< Maximum run time in microseconds.
     /// Callback when an attempt has ended.
     std::function<void(const ObservedAttempt &)> didEnd;
     /// Callback before and after each step of a key.
@@ -110,7 +110,7 @@
         node.isAlive = false;
         node.isPaused = false;
         node.backlog.clear();
-        ++m_lives[id];
+        ++m_killCounts[id];
     }
 
     auto restart(const NodeId &id) -> void
@@ -120,7 +120,7 @@
         node.isAlive = true;
         node.isLeaving = false;
         node.tables = {};
-        node.lastHeard.clear();
+        node.lastSeen.clear();
         if (Guards::RestartChangesSession)
             ++node.replica.session;
         if (!node.domain.empty())
@@ -149,7 +149,7 @@
 
     /// Begins an attempt, which ends with an answer or at its deadline.
     auto begin(const std::string &key, std::uint64_t fingerprint, const NodeId &entry,
-               Duration patience, bool isQuery = false) -> std::uint64_t;
+               Duration timeout, bool isQuery = false) -> std::uint64_t;
 
     [[nodiscard]] auto hasEnded(std::uint64_t id) -> bool { return m_attempts[id].hasEnded; }
     [[nodiscard]] auto outcomeOf(std::uint64_t id) -> Outcome
@@ -225,10 +225,10 @@
         action();
     }
 
-    /// Runs `action` unless the node has been killed since process instance `life`.
-    auto runInLife(const NodeId &id, std::uint64_t life, Action action) -> void
+    /// Runs `action` unless the node has been killed since its kill count was `killCount`.
+    auto runUnlessKilled(const NodeId &id, std::uint64_t killCount, Action action) -> void
     {
-        if (m_lives[id] == life)
+        if (m_killCounts[id] == killCount)
             runOn(id, std::move(action));
     }
 
@@ -242,12 +242,12 @@
 
     auto tick() -> void;
 
-    auto listen(Node &node) -> void;
+    auto updateLastSeen(Node &node) -> void;
 
     /// Returns the members as membership reports them to this node.
     auto view(Node &node) -> std::vector<PlacementMember>;
 
-    auto carryOut(const NodeId &id, KeeperEffects effects) -> void;
+    auto applyEffects(const NodeId &id, KeeperEffects effects) -> void;
 
     // Network
 
@@ -283,7 +283,7 @@
 
     auto perform(std::uint64_t id, const RouteAction &action) -> void;
 
-    auto someNodeOf(const std::string &domain) -> NodeId;
+    auto pickNode(const std::string &domain) -> NodeId;
 
     auto end(std::uint64_t id, const RecordedAnswer &answer, bool isReplay) -> void;
 
@@ -300,11 +300,11 @@
     auto callStore(const NodeId &id, Operation operation, Report report) -> void
     {
         const auto call = ++m_storeCalls[id];
-        const auto life = m_lives[id];
-        const auto answer = [this, id, call, life, report](auto result) {
+        const auto killCount = m_killCounts[id];
+        const auto answer = [this, id, call, killCount, report](auto result) {
             if (m_storeCalls[id] != call)
                 return;
-            runInLife(id, life, [this, id, call, report, result] {
+            runUnlessKilled(id, killCount, [this, id, call, report, result] {
                 if (m_storeCalls[id]++ == call)
                     report(id, result);
             });
@@ -337,7 +337,7 @@
     static constexpr auto stepsPerAttempt = std::uint64_t{1000};
     std::map<std::uint64_t, Attempt> m_attempts;
     /// Number of kills of each node, so that no action reaches a later process instance.
-    std::map<NodeId, std::uint64_t> m_lives;
+    std::map<NodeId, std::uint64_t> m_killCounts;
     std::map<NodeId, std::uint64_t> m_storeCalls;
     std::uint64_t m_lastAttempt = 0;
 };
--- a/tests/keyed/VirtualClusterEntries.h
+++ b/tests/keyed/VirtualClusterEntries.h
@@ -8,7 +8,7 @@
 
 template <typename Guards>
 auto VirtualCluster<Guards>::begin(const std::string &key, std::uint64_t fingerprint,
-                                   const NodeId &entry, Duration patience, bool isQuery)
+                                   const NodeId &entry, Duration timeout, bool isQuery)
         -> std::uint64_t
 {
     const auto id = ++m_lastAttempt;
@@ -16,8 +16,8 @@
     auto &attempt = m_attempts[id];
     attempt.id = id;
     attempt.entry = entry;
-    attempt.deadline = time.now() + patience;
-    time.after(patience, [this, id] { end(id, unknownAnswer(), false); });
+    attempt.deadline = time.now() + timeout;
+    time.after(timeout, [this, id] { end(id, unknownAnswer(), false); });
     runOn(entry, [this, id, key, fingerprint, isQuery] {
         auto &it = m_attempts[id];
         auto &node = nodes[it.entry];
@@ -71,7 +71,7 @@
                   [this, id, step] { proceed(id, step, [](auto &it) { return it.didWait(); }); });
         });
     case RouteStep::FetchTable:
-        message.to = {someNodeOf(message.domain), 0};
+        message.to = {pickNode(message.domain), 0};
         break;
     case RouteStep::SendSubmit: {
         auto submit = action.submit;
@@ -100,7 +100,7 @@
 }
 
 template <typename Guards>
-auto VirtualCluster<Guards>::someNodeOf(const std::string &domain) -> NodeId
+auto VirtualCluster<Guards>::pickNode(const std::string &domain) -> NodeId
 {
     auto ids = std::vector<NodeId>();
     for (const auto &[id, node] : nodes) {
--- a/tests/keyed/VirtualClusterNodes.h
+++ b/tests/keyed/VirtualClusterNodes.h
@@ -28,10 +28,10 @@
 auto VirtualCluster<Guards>::changeHomes() -> void
 {
     for (auto &[id, node] : nodes) {
-        const auto isIn = id;
-        time.after(Duration(randomBelow(random, clockMargin * 900)), [this, isIn] {
-            runOn(isIn, [this, isIn] {
-                auto &it = nodes[isIn];
+        const auto nodeId = id;
+        time.after(Duration(randomBelow(random, clockMargin * 900)), [this, nodeId] {
+            runOn(nodeId, [this, nodeId] {
+                auto &it = nodes[nodeId];
                 it.callerHome = otherDomain;
                 if (it.keeper)
                     it.keeper->recordHomeChange(instant(it));
@@ -47,26 +47,26 @@
     for (auto &[id, node] : nodes) {
         if (!node.keeper || !node.isAlive || node.isPaused)
             continue;
-        listen(node);
+        updateLastSeen(node);
         auto effects = KeeperEffects();
         const auto recordsBefore = node.keeper->records();
         node.keeper->tick(instant(node), view(node), effects);
         if (node.keeper->records() < recordsBefore)
             reach(Step::Forget, "", true);
-        carryOut(id, std::move(effects));
+        applyEffects(id, std::move(effects));
         if (node.isLeaving && !node.keeper->isNeeded())
             kill(id);
     }
 }
 
 template <typename Guards>
-auto VirtualCluster<Guards>::listen(Node &node) -> void
+auto VirtualCluster<Guards>::updateLastSeen(Node &node) -> void
 {
     for (const auto &[id, other] : nodes) {
-        const auto isHeard = other.domain == node.domain && other.isAlive && !other.isPaused
-                             && network.reaches(node.replica.node, id);
-        if (isHeard)
-            node.lastHeard[id] = {other.replica.session, time.now()};
+        const auto isReachable = other.domain == node.domain && other.isAlive && !other.isPaused
+                                 && network.reaches(node.replica.node, id);
+        if (isReachable)
+            node.lastSeen[id] = {other.replica.session, time.now()};
     }
 }
 
@@ -74,9 +74,9 @@
 auto VirtualCluster<Guards>::view(Node &node) -> std::vector<PlacementMember>
 {
     auto members = std::vector<PlacementMember>();
-    for (const auto &[id, heard] : node.lastHeard) {
-        auto member = PlacementMember{{id, heard.first}, rackOf(id)};
-        member.isAlive = time.now() - heard.second <= detectionTime;
+    for (const auto &[id, seen] : node.lastSeen) {
+        auto member = PlacementMember{{id, seen.first}, rackOf(id)};
+        member.isAlive = time.now() - seen.second <= detectionTime;
         member.isLeaving = nodes[id].isLeaving;
         members.push_back(std::move(member));
     }
@@ -84,7 +84,7 @@
 }
 
 template <typename Guards>
-auto VirtualCluster<Guards>::carryOut(const NodeId &id, KeeperEffects effects) -> void
+auto VirtualCluster<Guards>::applyEffects(const NodeId &id, KeeperEffects effects) -> void
 {
     auto &node = nodes[id];
     for (auto &it : effects.messages)
@@ -162,16 +162,16 @@
         node.keeper->sayHomeIsElsewhere({message.from.node, submit->waiter}, effects);
     else
         node.keeper->didReceive(message, instant(node), effects);
-    carryOut(to, std::move(effects));
+    applyEffects(to, std::move(effects));
 }
 
 template <typename Guards>
 auto VirtualCluster<Guards>::dispatch(const NodeId &id, SlotDispatch dispatch) -> void
 {
     const auto key = dispatch.order.key;
-    const auto life = m_lives[id];
+    const auto killCount = m_killCounts[id];
     reach(Step::Dispatch, key, false);
-    runInLife(id, life, [this, id, dispatch] {
+    runUnlessKilled(id, killCount, [this, id, dispatch] {
         // The call is sent to a gate and runs independently of the primary from now on.
         time.after(Duration(randomBelow(random, 3000)),
                    [this, id, dispatch] { execute(id, dispatch); });
@@ -182,34 +182,34 @@
 template <typename Guards>
 auto VirtualCluster<Guards>::execute(const NodeId &id, const SlotDispatch &dispatch) -> void
 {
-    const auto fate = randomBelow(random, 100);
-    auto end = DispatchResult();
-    end.didNotRun = randomBelow(random, 100) < notRunPercent;
-    if (!end.didNotRun) {
+    const auto outcomeChoice = randomBelow(random, 100);
+    auto result = DispatchResult();
+    result.didNotRun = randomBelow(random, 100) < notRunPercent;
+    if (!result.didNotRun) {
         auto run = ObservedRun{dispatch.order.key, 0, time.now()};
         for (const auto &waiter : dispatch.order.waiters) {
             run.attempts.push_back(waiter.number / stepsPerAttempt);
             run.fingerprint = checker.attempts[run.attempts.back()].fingerprint;
         }
         run.payload = "run " + std::to_string(checker.runs.size()) + " of " + run.key;
-        if (fate < 25)
+        if (outcomeChoice < 25)
             run.payload.resize(2 * maxPayload, '.');
-        end.answer = {fate < 90 ? Outcome::Answered : Outcome::Failed};
-        end.answer.payload = run.payload;
-        if (fate >= 97)
-            end.answer = unknownAnswer();
+        result.answer = {outcomeChoice < 90 ? Outcome::Answered : Outcome::Failed};
+        result.answer.payload = run.payload;
+        if (outcomeChoice >= 97)
+            result.answer = unknownAnswer();
         checker.runs.push_back(std::move(run));
     }
-    const auto life = m_lives[id];
-    time.after(Duration(randomBelow(random, longestRun)), [this, id, dispatch, end, life] {
+    const auto killCount = m_killCounts[id];
+    time.after(Duration(randomBelow(random, maxRunTime)), [this, id, dispatch, result, killCount] {
         const auto key = dispatch.order.key;
         reach(Step::Answer, key, false);
-        runInLife(id, life, [this, id, dispatch, end] {
+        runUnlessKilled(id, killCount, [this, id, dispatch, result] {
             auto &node = nodes[id];
             auto effects = KeeperEffects();
-            node.keeper->didEnd(dispatch.slot, dispatch.order.key, dispatch.order.bind, end,
+            node.keeper->didEnd(dispatch.slot, dispatch.order.key, dispatch.order.bind, result,
                                 instant(node), effects);
-            carryOut(id, std::move(effects));
+            applyEffects(id, std::move(effects));
         });
         reach(Step::Answer, key, true);
     });
@@ -225,7 +225,7 @@
                 auto &node = nodes[to];
                 auto effects = KeeperEffects();
                 node.keeper->didRead(result, instant(node), view(node), effects);
-                carryOut(to, std::move(effects));
+                applyEffects(to, std::move(effects));
             });
 }
 
@@ -240,7 +240,7 @@
                 auto &node = nodes[to];
                 auto effects = KeeperEffects();
                 node.keeper->didWrite(result, write.revision + 1, instant(node), effects);
-                carryOut(to, std::move(effects));
+                applyEffects(to, std::move(effects));
             });
     reach(Step::CompareAndSwap, "", true);
 }
