--- a/include/stairspur/keyed/Guards.h
+++ b/include/stairspur/keyed/Guards.h
@@ -2,8 +2,8 @@
 
 namespace stairspur::keyed {
 
-/// The checks that keep keyed calls at most once. Production code uses them all. A test derives a type that disables
-/// one of them and verifies that the fault matrix finds a violation.
+/// The checks that ensure that a keyed call runs at most once. Production code uses them all. A test derives a type
+/// that disables one of them and verifies that the fault matrix finds a violation.
 struct StandardGuards
 {
     /// A key is dispatched only after the witness has acknowledged its record.
--- a/include/stairspur/keyed/KeyRecord.h
+++ b/include/stairspur/keyed/KeyRecord.h
@@ -51,7 +51,7 @@
     KeyState state = KeyState::Bound;
     UpdateId bind{};          ///< The binding under which the call may be running.
     UpdateId update{};        ///< The newest update that is included in this record.
-    std::uint64_t ticket = 0; ///< Number of `not-run` replies sent for the key.
+    std::uint64_t ticket = 0; ///< Number of times that `not-run` was recorded for the key.
     WallMilliseconds recordedAt = 0;
     RecordedAnswer answer{};
 };
--- a/include/stairspur/keyed/KeyedRoute.h
+++ b/include/stairspur/keyed/KeyedRoute.h
@@ -30,11 +30,11 @@
 
 /// The next step of a KeyedRoute, which its owner carries out.
 enum class RouteStep {
-    SendSubmit, ///< Send `submit` to `target`, then call didReply or didLoseLink.
-    SendLookup, ///< Send a Lookup to the witness `target`, then call didReply or didLoseLink.
-    FetchTable, ///< Request the table from a node of the home domain, then call didFetch.
-    Wait,       ///< Call didWait after `delay`.
-    Finish,     ///< Return `answer` to the caller.
+    SendSubmit, ///< Sends `submit` to `target`; didReply or didLoseLink follows.
+    SendLookup, ///< Sends a Lookup to the witness `target`; didReply or didLoseLink follows.
+    FetchTable, ///< Requests the table from a node of the home domain; didFetch follows.
+    Wait,       ///< Waits for `delay`; didWait follows.
+    Finish,     ///< Returns `answer` to the caller and ends the attempt.
 };
 
 /// A step and its parameters.
--- a/include/stairspur/keyed/KeyedService.h
+++ b/include/stairspur/keyed/KeyedService.h
@@ -104,7 +104,7 @@
             -> transport::Task<transport::CallAnswer>;
 
     /// Handles a control request of the topic `keyed` and returns the encoded replies. Throws InputError if `payload`
-    /// is malformed.
+    /// is malformed or refers to a service that is not configured here.
     auto handleRequest(NodeId from, std::string payload) -> transport::Task<std::string>;
 
     /// Records an operator's confirmation that the process of `node` has terminated for good, so that its slots may be
@@ -137,8 +137,8 @@
 
     auto tick() -> void;
     auto probeSilentPeers() -> void;
-    /// Suspects the primary of the slot, since an entry that sends a Lookup to its witness can't reach the primary.
-    auto suspectPrimaryOf(const Message &lookup) -> void;
+    /// Probes the primary of the slot, since an entry that sends a Lookup to the witness may not reach the primary.
+    auto probePrimaryOf(const Message &lookup) -> void;
     auto didReceiveFrom(const NodeId &node) -> void;
     auto didFailToReach(const NodeId &node) -> void;
     auto scheduleTick() -> void;
--- a/include/stairspur/keyed/KeyedServiceCode.h
+++ b/include/stairspur/keyed/KeyedServiceCode.h
@@ -291,7 +291,7 @@
     if (message.domain != m_settings.domain || std::holds_alternative<Submit>(message.body))
         return;
     if (std::holds_alternative<Lookup>(message.body))
-        suspectPrimaryOf(message);
+        probePrimaryOf(message);
     keeperOf(message.service).didReceive(message, now(), effects);
     applyEffects(message.service, std::move(effects));
 }
--- a/include/stairspur/keyed/KeyedServiceEffects.h
+++ b/include/stairspur/keyed/KeyedServiceEffects.h
@@ -233,7 +233,7 @@
 }
 
 template <PlacementStore Store, KeyedPeers Peers>
-auto KeyedService<Store, Peers>::suspectPrimaryOf(const Message &lookup) -> void
+auto KeyedService<Store, Peers>::probePrimaryOf(const Message &lookup) -> void
 {
     const auto &slots = keeperOf(lookup.service).table().slots;
     if (lookup.slot >= slots.size() || slots[lookup.slot].witness != m_settings.own)
--- a/tests/keyed/FaultMatrix.h
+++ b/tests/keyed/FaultMatrix.h
@@ -104,7 +104,8 @@
     }
 
 private:
-    /// Schedules the attempts: several for the key of the fault, some of them concurrent, and some for other keys.
+    /// Schedules the attempts: at least four for the key of the fault, some of them concurrent, and some for other
+    /// keys.
     auto scheduleAttempts() -> void
     {
         const auto n = 3 + randomBelow(m_cluster.random, 3);
--- a/tests/keyed/VirtualNetwork.h
+++ b/tests/keyed/VirtualNetwork.h
@@ -41,7 +41,7 @@
         return passes(a, b) && passes(b, a);
     }
 
-    /// Returns how often a message arrives: 1, or 1 or 2 while messages are duplicated.
+    /// Returns how often a message arrives: once, or randomly once or twice while messages are duplicated.
     auto copies() -> int { return m_isDuplicating && randomBelow(m_random, 2) == 0 ? 2 : 1; }
 
     /// Returns the delay of a message.
