--- a/include/stairspur/keyed/AnswerPayload.h
+++ b/include/stairspur/keyed/AnswerPayload.h
@@ -9,7 +9,7 @@
 /// Conversions between the calls of gates and entries and the records of keyed calls.
 namespace stairspur::keyed {
 
-/// Returns a hash of the request's method, target and body, by which two requests with the same key are told apart.
+/// Returns a hash of the request's method, target and body, which distinguishes two requests with the same key.
 auto fingerprintOf(const transport::CallRequest &request) -> std::uint64_t;
 
 /// Returns the record of an answer. The answer's headers and body are encoded in the payload.
--- a/include/stairspur/keyed/RecordTable.h
+++ b/include/stairspur/keyed/RecordTable.h
@@ -42,7 +42,7 @@
     auto dropExpired(WallMilliseconds now, bool shouldRaiseMark) -> std::size_t;
 
     /// Returns whether a key without a record may have run: it was minted before the low-water mark, or may have been
-    /// minted before records were lost or homes were changed, judged by its mint time or else by the current time.
+    /// minted before records were lost or homes were changed, according to its mint time or else the current time.
     [[nodiscard]] auto mayHaveRun(std::string_view key, bool isHomeExplicit,
                                   WallMilliseconds now) const -> bool;
 
