--- a/include/stairspur/keyed/PlacementKeeper.h
+++ b/include/stairspur/keyed/PlacementKeeper.h
@@ -108,11 +108,11 @@
     /// The key's home is elsewhere by the configuration in force here: whoever sent it has another one.
     auto sayHomeIsElsewhere(const Waiter &waiter, KeeperEffects &effects) -> void;
     auto cancel(std::uint32_t slot, const Waiter &waiter) -> void;
-    auto didEnd(std::uint32_t slot, const std::string &key, UpdateId bind, const DispatchEnd &end,
-                Instant now, KeeperEffects &effects) -> void;
+    auto didEnd(std::uint32_t slot, const std::string &key, UpdateId bind,
+                const DispatchResult &end, Instant now, KeeperEffects &effects) -> void;
 
     /// The operators' configuration gives some keys another home than before.
-    auto noteHomeChange(Instant now) -> void;
+    auto recordHomeChange(Instant now) -> void;
 
     /// The newest table known here; without slots until it has been read.
     [[nodiscard]] auto table() const -> const PlacementTable & { return m_table; }
--- a/include/stairspur/keyed/PlacementKeeperCode.h
+++ b/include/stairspur/keyed/PlacementKeeperCode.h
@@ -38,7 +38,7 @@
         auto own = Effects();
         slot->tick(now, own);
         if (shouldForget)
-            slot->forget(now);
+            slot->dropExpired(now);
         pass(number, std::move(own), effects);
     }
     switch (m_phase) {
@@ -135,7 +135,7 @@
 
 template <typename Guards>
 auto PlacementKeeper<Guards>::didEnd(std::uint32_t number, const std::string &key, UpdateId bind,
-                                     const DispatchEnd &end, Instant now, KeeperEffects &effects)
+                                     const DispatchResult &end, Instant now, KeeperEffects &effects)
         -> void
 {
     auto own = Effects();
@@ -144,11 +144,11 @@
 }
 
 template <typename Guards>
-auto PlacementKeeper<Guards>::noteHomeChange(Instant now) -> void
+auto PlacementKeeper<Guards>::recordHomeChange(Instant now) -> void
 {
     m_homesChangedAt = std::max(m_homesChangedAt, now.wall);
     for (auto &[number, slot] : m_slots)
-        slot->noteHomeChange(now);
+        slot->recordHomeChange(now);
 }
 
 template <typename Guards>
@@ -183,7 +183,7 @@
     auto &slot = m_slots[number];
     if (!slot) {
         slot = std::make_unique<SlotReplica<Guards>>(m_own, m_settings.slot);
-        slot->noteHomeChange({{}, m_homesChangedAt});
+        slot->recordHomeChange({{}, m_homesChangedAt});
     }
     return *slot;
 }
--- a/include/stairspur/keyed/SlotReplicaCode.h
+++ b/include/stairspur/keyed/SlotReplicaCode.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The member functions of SlotReplica and its parts, for who instantiates them with other guards.
+// Member functions of SlotReplica and its parts, to be included where they are instantiated with other guards.
 
 #include <utility>
 
@@ -23,11 +23,11 @@
 {
     if (placement.epoch <= m_state.placement.epoch)
         return;
-    const auto goesOn = m_state.isPrimary() && placement.primary == m_state.own
-                        && placement.source == m_state.own;
+    const auto staysPrimary = m_state.isPrimary() && placement.primary == m_state.own
+                              && placement.source == m_state.own;
     m_state.placement = placement;
     m_state.sequence = 0;
-    if (!goesOn)
+    if (!staysPrimary)
         m_primary.retire(now, effects);
 
     m_state.hasRecords = m_state.isMember() && takeRecordsFor(placement);
@@ -39,7 +39,7 @@
         clearRecords();
     if (!m_state.isPrimary() || !m_state.hasRecords)
         return;
-    if (!goesOn)
+    if (!staysPrimary)
         settleOpenKeys();
     m_primary.resume(now, effects);
 }
@@ -50,7 +50,7 @@
     if (placement.source.isNone()) {
         clearRecords();
         if (Guards::LossIsRemembered && placement.lostAt != 0)
-            m_state.records.noteLoss(placement.lostAt);
+            m_state.records.recordLoss(placement.lostAt);
         return true;
     }
     if (placement.source == m_state.own)
@@ -68,7 +68,7 @@
 {
     const auto homesChangedAt = m_state.records.homesChangedAt();
     m_state.records = RecordTable(m_state.settings.records);
-    m_state.records.noteHomeChange(homesChangedAt);
+    m_state.records.recordHomeChange(homesChangedAt);
 }
 
 template <typename Guards>
@@ -76,8 +76,8 @@
 {
     clearRecords();
     m_state.records.raiseLowWater(offer.lowWater);
-    m_state.records.noteLoss(offer.lostAt);
-    m_state.records.noteHomeChange(offer.homesChangedAt);
+    m_state.records.recordLoss(offer.lostAt);
+    m_state.records.recordHomeChange(offer.homesChangedAt);
     for (const auto &record : offer.records)
         m_state.records.put(record);
 }
@@ -87,7 +87,7 @@
 {
     if (!Guards::TakeoverSettlesOpenKeys)
         return;
-    // Whether the former primary ran them can't be known here, so they never run again.
+    // It can't be determined whether the former primary ran these keys, so they are never run again.
     auto open = std::vector<KeyRecord>();
     for (const auto &[key, record] : m_state.records.records()) {
         if (record.state == KeyState::Bound)
@@ -108,7 +108,7 @@
     offer.homesChangedAt = m_state.records.homesChangedAt();
     for (const auto &[key, record] : m_state.records.records()) {
         auto copy = record;
-        // Sealed: what the witness has not acknowledged is not dispatched in this epoch any more.
+        // Since the epoch is sealed, a binding that the witness has not acknowledged is never dispatched in it.
         if (m_primary.isUndispatched(key))
             copy.state = KeyState::NotRun;
         offer.records.push_back(std::move(copy));
@@ -121,8 +121,9 @@
                                           Effects &effects) -> void
 {
     const auto &proposed = offer.proposed;
-    const auto concernsUs = proposed.primary == m_state.own || proposed.witness == m_state.own;
-    if (!concernsUs || proposed.epoch <= m_state.placement.epoch || proposed.source != from)
+    const auto isProposedMember =
+            proposed.primary == m_state.own || proposed.witness == m_state.own;
+    if (!isProposedMember || proposed.epoch <= m_state.placement.epoch || proposed.source != from)
         return;
     const auto accept = SnapshotAccept{proposed.epoch, offer.sequence};
     const auto it = m_offers.find(from);
@@ -146,9 +147,9 @@
 }
 
 template <typename Guards>
-auto SlotReplica<Guards>::forget(Instant now) -> std::size_t
+auto SlotReplica<Guards>::dropExpired(Instant now) -> std::size_t
 {
-    return m_state.records.forget(now.wall, Guards::ForgettingRaisesMark);
+    return m_state.records.dropExpired(now.wall, Guards::ForgettingRaisesMark);
 }
 
 } // namespace stairspur::keyed
--- a/source/keyed/RecordTable.cpp
+++ b/source/keyed/RecordTable.cpp
@@ -15,8 +15,8 @@
 
 auto RecordTable::apply(const KeyRecord &record) -> bool
 {
-    const auto *known = find(record.key);
-    if (known && known->update >= record.update)
+    const auto *current = find(record.key);
+    if (current && current->update >= record.update)
         return false;
     put(record);
     return true;
@@ -28,7 +28,7 @@
     m_records.insert_or_assign(std::move(key), std::move(record));
 }
 
-auto RecordTable::forget(WallMilliseconds now, bool shouldRaiseMark) -> std::size_t
+auto RecordTable::dropExpired(WallMilliseconds now, bool shouldRaiseMark) -> std::size_t
 {
     const auto keep = m_settings.keyLifetime + m_settings.clockMargin;
     if (now <= keep)
@@ -36,7 +36,7 @@
     const auto mark = now - keep;
     if (shouldRaiseMark)
         raiseLowWater(mark);
-    // A key that claims a later mint time than its record's is kept until the mark has passed it too.
+    // A key whose mint time is later than the time of its record is kept until the mark has passed the mint time too.
     return std::erase_if(m_records, [&](const auto &entry) {
         const auto mintedAt = mintTimeOf(entry.first).value_or(0);
         return std::max(mintedAt, entry.second.recordedAt) < mark;
@@ -48,18 +48,18 @@
     m_lowWater = std::max(m_lowWater, mark);
 }
 
-auto RecordTable::noteLoss(WallMilliseconds when) -> void
+auto RecordTable::recordLoss(WallMilliseconds when) -> void
 {
     m_lostAt = std::max(m_lostAt, when);
 }
 
-auto RecordTable::noteHomeChange(WallMilliseconds when) -> void
+auto RecordTable::recordHomeChange(WallMilliseconds when) -> void
 {
     m_homesChangedAt = std::max(m_homesChangedAt, when);
 }
 
-auto RecordTable::mayHaveForgotten(std::string_view key, bool isHomeExplicit,
-                                   WallMilliseconds now) const -> bool
+auto RecordTable::mayHaveRun(std::string_view key, bool isHomeExplicit, WallMilliseconds now) const
+        -> bool
 {
     const auto mintedAt = mintTimeOf(key);
     if (mintedAt && *mintedAt < m_lowWater)
@@ -74,14 +74,14 @@
 {
     if (event == 0)
         return false;
-    // Once for the clock that minted the key, once for the clock that noted the event.
-    const auto settled = event + 2 * m_settings.clockMargin;
+    // One margin is for the clock that minted the key, the other for the clock that recorded the event.
+    const auto uncertainUntil = event + 2 * m_settings.clockMargin;
     if (const auto mintedAt = mintTimeOf(key))
-        return *mintedAt <= settled;
-    return now <= settled + m_settings.keyLifetime;
+        return *mintedAt <= uncertainUntil;
+    return now <= uncertainUntil + m_settings.keyLifetime;
 }
 
-auto RecordTable::isFromTheFuture(std::string_view key, WallMilliseconds now) const -> bool
+auto RecordTable::isMintedInFuture(std::string_view key, WallMilliseconds now) const -> bool
 {
     const auto mintedAt = mintTimeOf(key);
     return mintedAt && *mintedAt > now + m_settings.clockMargin;
--- a/tests/keyed/TestKeyedMessages.cpp
+++ b/tests/keyed/TestKeyedMessages.cpp
@@ -47,18 +47,18 @@
             {"192.0.2.2:7100", 0}, std::move(body)};
 }
 
-Test(KeyedMessages, everyKindSurvivesItsBytes)
+Test(KeyedMessages, everyKindIsDecodedAsEncoded)
 {
     for (const auto &body : everyBody()) {
         const auto bytes = encodeMessage(wrap(body));
-        const auto again = decodeMessage(bytes);
-        cr_assert_eq(again.body.index(), body.index());
-        cr_assert_eq(again.slot, 3);
-        cr_assert_eq(encodeMessage(again), bytes, "kind %zu", body.index());
+        const auto decoded = decodeMessage(bytes);
+        cr_assert_eq(decoded.body.index(), body.index());
+        cr_assert_eq(decoded.slot, 3);
+        cr_assert_eq(encodeMessage(decoded), bytes, "kind %zu", body.index());
     }
 }
 
-Test(KeyedMessages, truncatedAndForeignBytesAreTypedErrors)
+Test(KeyedMessages, truncatedAndForeignBytesThrowInputError)
 {
     for (const auto &body : everyBody()) {
         const auto bytes = encodeMessage(wrap(body));
@@ -76,7 +76,7 @@
         cr_assert_throw(decodeMessage(toCbor(it)), InputError);
 }
 
-Test(KeyedMessages, damagedBytesNeverEscapeTheTypedError)
+Test(KeyedMessages, damagedBytesThrowNothingButInputError)
 {
     auto random = Random(7);
     for (const auto &body : everyBody()) {
@@ -93,7 +93,7 @@
     }
 }
 
-Test(KeyedMessages, tableSurvivesItsBytes)
+Test(KeyedMessages, tableIsDecodedAsEncoded)
 {
     const auto table = PlacementTable{"order-intake", "centre", {somePlacement(), {}}};
     cr_assert(decodePlacementTable(encodePlacementTable(table)) == table);
--- a/tests/keyed/TestRecordTable.cpp
+++ b/tests/keyed/TestRecordTable.cpp
@@ -27,7 +27,7 @@
     return record;
 }
 
-Test(RecordTable, onlyNewerUpdatesCount)
+Test(RecordTable, onlyNewerUpdatesAreStored)
 {
     auto table = RecordTable({lifetime, margin, 10, 100});
     cr_assert(table.apply(recordOf("k", {1, 2}, start)));
@@ -36,29 +36,29 @@
     cr_assert(table.apply(recordOf("k", {2, 1}, start)));
 }
 
-Test(RecordTable, forgottenKeysWithAMintTimeAreBelowTheMark)
+Test(RecordTable, droppedKeysWithMintTimeAreBelowLowWaterMark)
 {
     auto table = RecordTable({lifetime, margin, 10, 100});
     const auto key = mintedAt(start);
     table.put(recordOf(key, {1, 1}, start + 5));
-    cr_assert_eq(table.forget(start + lifetime + margin, true), 0);
+    cr_assert_eq(table.dropExpired(start + lifetime + margin, true), 0);
     cr_assert_not_null(table.find(key));
-    cr_assert_eq(table.forget(start + lifetime + margin + 6, true), 1);
-    cr_assert(table.mayHaveForgotten(key, true, start + lifetime + margin + 6));
+    cr_assert_eq(table.dropExpired(start + lifetime + margin + 6, true), 1);
+    cr_assert(table.mayHaveRun(key, true, start + lifetime + margin + 6));
     const auto later = start + lifetime;
-    cr_assert_not(table.mayHaveForgotten(mintedAt(later), true, later));
+    cr_assert_not(table.mayHaveRun(mintedAt(later), true, later));
 }
 
-Test(RecordTable, keyMintedAheadIsKeptUntilTheMarkHasPassedIt)
+Test(RecordTable, keyMintedAheadIsKeptUntilMarkPassesItsMintTime)
 {
     auto table = RecordTable({lifetime, margin, 10, 100});
     const auto key = mintedAt(start + 20'000);
     table.put(recordOf(key, {1, 1}, start));
-    cr_assert_eq(table.forget(start + lifetime + margin + 10'000, true), 0);
-    cr_assert_eq(table.forget(start + lifetime + margin + 20'001, true), 1);
+    cr_assert_eq(table.dropExpired(start + lifetime + margin + 10'000, true), 0);
+    cr_assert_eq(table.dropExpired(start + lifetime + margin + 20'001, true), 1);
 }
 
-Test(RecordTable, lossAndHomeChangeMakeOlderKeysUncertain)
+Test(RecordTable, olderKeysMayHaveRunAfterLossOrHomeChange)
 {
     struct Case
     {
@@ -73,7 +73,7 @@
     const auto late = start + lifetime + 2 * margin + 1;
     const Case cases[] = {
             {"opaque, soon", "order-1", false, soon, true, true},
-            {"opaque with a home of its own, soon", "centre/order-1", true, soon, true, false},
+            {"opaque with an explicit home, soon", "centre/order-1", true, soon, true, false},
             {"opaque, after its lifetime", "order-1", false, late, false, false},
             {"minted before", mintedAt(start - 1), false, late, true, true},
             {"minted within the margin", mintedAt(start + margin), false, soon, true, true},
@@ -81,12 +81,11 @@
     };
     for (const auto &it : cases) {
         auto lost = RecordTable({lifetime, margin, 10, 100});
-        lost.noteLoss(start);
-        cr_assert_eq(lost.mayHaveForgotten(it.key, it.isExplicit, it.now), it.afterLoss, "%s",
-                     it.name);
+        lost.recordLoss(start);
+        cr_assert_eq(lost.mayHaveRun(it.key, it.isExplicit, it.now), it.afterLoss, "%s", it.name);
         auto moved = RecordTable({lifetime, margin, 10, 100});
-        moved.noteHomeChange(start);
-        cr_assert_eq(moved.mayHaveForgotten(it.key, it.isExplicit, it.now), it.afterHomeChange,
-                     "%s", it.name);
+        moved.recordHomeChange(start);
+        cr_assert_eq(moved.mayHaveRun(it.key, it.isExplicit, it.now), it.afterHomeChange, "%s",
+                     it.name);
     }
 }
--- a/tests/keyed/WorldEntries.h
+++ b/tests/keyed/VirtualClusterEntries.h
@@ -1,22 +1,23 @@
 #pragma once
 
-// World's callers and entries.
+// Member functions of VirtualCluster for callers and entries.
 
-#include "World.h"
+#include "VirtualCluster.h"
 
 namespace stairspur::keyed::test {
 
 template <typename Guards>
-auto World<Guards>::begin(const std::string &key, std::uint64_t fingerprint, const NodeId &entry,
-                          Duration patience, bool isQuery) -> std::uint64_t
+auto VirtualCluster<Guards>::begin(const std::string &key, std::uint64_t fingerprint,
+                                   const NodeId &entry, Duration timeout, bool isQuery)
+        -> std::uint64_t
 {
     const auto id = ++m_lastAttempt;
-    ledger.attempts[id] = {key, fingerprint, time.now()};
+    checker.attempts[id] = {key, fingerprint, time.now()};
     auto &attempt = m_attempts[id];
     attempt.id = id;
     attempt.entry = entry;
-    attempt.deadline = time.now() + patience;
-    time.after(patience, [this, id] { end(id, unknownAnswer(), false); });
+    attempt.deadline = time.now() + timeout;
+    time.after(timeout, [this, id] { end(id, unknownAnswer(), false); });
     runOn(entry, [this, id, key, fingerprint, isQuery] {
         auto &it = m_attempts[id];
         auto &node = nodes[it.entry];
@@ -30,7 +31,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::handleAtEntry(Node &entry, const Message &message) -> void
+auto VirtualCluster<Guards>::handleAtEntry(Node &entry, const Message &message) -> void
 {
     if (const auto *notice = std::get_if<TableNotice>(&message.body)) {
         entry.tables.merge(notice->table);
@@ -48,7 +49,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::perform(std::uint64_t id, const RouteAction &action) -> void
+auto VirtualCluster<Guards>::perform(std::uint64_t id, const RouteAction &action) -> void
 {
     auto &attempt = m_attempts[id];
     const auto step = ++attempt.step;
@@ -70,7 +71,7 @@
                   [this, id, step] { proceed(id, step, [](auto &it) { return it.didWait(); }); });
         });
     case RouteStep::FetchTable:
-        message.to = {someNodeOf(message.domain), 0};
+        message.to = {pickNode(message.domain), 0};
         break;
     case RouteStep::SendSubmit: {
         auto submit = action.submit;
@@ -99,7 +100,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::someNodeOf(const std::string &domain) -> NodeId
+auto VirtualCluster<Guards>::pickNode(const std::string &domain) -> NodeId
 {
     auto ids = std::vector<NodeId>();
     for (const auto &[id, node] : nodes) {
@@ -110,13 +111,14 @@
 }
 
 template <typename Guards>
-auto World<Guards>::end(std::uint64_t id, const RecordedAnswer &answer, bool isReplay) -> void
+auto VirtualCluster<Guards>::end(std::uint64_t id, const RecordedAnswer &answer, bool isReplay)
+        -> void
 {
     auto &attempt = m_attempts[id];
     if (attempt.hasEnded)
         return;
     attempt.hasEnded = true;
-    auto &seen = ledger.attempts[id];
+    auto &seen = checker.attempts[id];
     seen.end = time.now();
     seen.answer = answer;
     seen.isReplay = isReplay;
--- a/tests/keyed/WorldNodes.h
+++ b/tests/keyed/VirtualClusterNodes.h
@@ -1,14 +1,15 @@
 #pragma once
 
-// World's nodes: their clock ticks, their messages, their calls to the store and to backend servers.
+// Member functions of VirtualCluster for nodes: ticks, messages and calls to the store and to backend servers.
 
-#include "World.h"
+#include "VirtualCluster.h"
 
 namespace stairspur::keyed::test {
 
 template <typename Guards>
-auto World<Guards>::isolate(const NodeId &id, const std::function<bool(const NodeId &)> &isCutFrom,
-                            bool cutsOutgoing, bool cutsIncoming) -> void
+auto VirtualCluster<Guards>::isolate(const NodeId &id,
+                                     const std::function<bool(const NodeId &)> &isCutFrom,
+                                     bool cutsOutgoing, bool cutsIncoming) -> void
 {
     auto others = std::vector<NodeId>{"store"};
     for (const auto &[other, node] : nodes)
@@ -24,58 +25,58 @@
 }
 
 template <typename Guards>
-auto World<Guards>::changeHomes() -> void
+auto VirtualCluster<Guards>::changeHomes() -> void
 {
     for (auto &[id, node] : nodes) {
-        const auto isIn = id;
-        time.after(Duration(randomBelow(random, clockMargin * 900)), [this, isIn] {
-            runOn(isIn, [this, isIn] {
-                auto &it = nodes[isIn];
+        const auto nodeId = id;
+        time.after(Duration(randomBelow(random, clockMargin * 900)), [this, nodeId] {
+            runOn(nodeId, [this, nodeId] {
+                auto &it = nodes[nodeId];
                 it.callerHome = otherDomain;
                 if (it.keeper)
-                    it.keeper->noteHomeChange(instant(it));
+                    it.keeper->recordHomeChange(instant(it));
             });
         });
     }
 }
 
 template <typename Guards>
-auto World<Guards>::tick() -> void
+auto VirtualCluster<Guards>::tick() -> void
 {
     time.after(tickInterval, [this] { tick(); });
     for (auto &[id, node] : nodes) {
         if (!node.keeper || !node.isAlive || node.isPaused)
             continue;
-        listen(node);
+        updateLastSeen(node);
         auto effects = KeeperEffects();
         const auto recordsBefore = node.keeper->records();
         node.keeper->tick(instant(node), view(node), effects);
         if (node.keeper->records() < recordsBefore)
             reach(Step::Forget, "", true);
-        carryOut(id, std::move(effects));
+        applyEffects(id, std::move(effects));
         if (node.isLeaving && !node.keeper->isNeeded())
             kill(id);
     }
 }
 
 template <typename Guards>
-auto World<Guards>::listen(Node &node) -> void
+auto VirtualCluster<Guards>::updateLastSeen(Node &node) -> void
 {
     for (const auto &[id, other] : nodes) {
-        const auto isHeard = other.domain == node.domain && other.isAlive && !other.isPaused
-                             && network.reaches(node.replica.node, id);
-        if (isHeard)
-            node.lastHeard[id] = {other.replica.session, time.now()};
+        const auto isReachable = other.domain == node.domain && other.isAlive && !other.isPaused
+                                 && network.reaches(node.replica.node, id);
+        if (isReachable)
+            node.lastSeen[id] = {other.replica.session, time.now()};
     }
 }
 
 template <typename Guards>
-auto World<Guards>::view(Node &node) -> std::vector<PlacementMember>
+auto VirtualCluster<Guards>::view(Node &node) -> std::vector<PlacementMember>
 {
     auto members = std::vector<PlacementMember>();
-    for (const auto &[id, heard] : node.lastHeard) {
-        auto member = PlacementMember{{id, heard.first}, rackOf(id)};
-        member.isAlive = time.now() - heard.second <= detectionTime;
+    for (const auto &[id, seen] : node.lastSeen) {
+        auto member = PlacementMember{{id, seen.first}, rackOf(id)};
+        member.isAlive = time.now() - seen.second <= detectionTime;
         member.isLeaving = nodes[id].isLeaving;
         members.push_back(std::move(member));
     }
@@ -83,7 +84,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::carryOut(const NodeId &id, KeeperEffects effects) -> void
+auto VirtualCluster<Guards>::applyEffects(const NodeId &id, KeeperEffects effects) -> void
 {
     auto &node = nodes[id];
     for (auto &it : effects.messages)
@@ -102,7 +103,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::transmit(const NodeId &from, Message message) -> void
+auto VirtualCluster<Guards>::transmit(const NodeId &from, Message message) -> void
 {
     const auto to = message.to.node;
     if (std::holds_alternative<SnapshotOffer>(message.body)) {
@@ -119,7 +120,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::stepOf(const Message &message) -> std::pair<Step, std::string>
+auto VirtualCluster<Guards>::stepOf(const Message &message) -> std::pair<Step, std::string>
 {
     if (const auto *submit = std::get_if<Submit>(&message.body)) {
         const auto isRetry = attemptsAt(submit->key) > 1;
@@ -135,12 +136,13 @@
 }
 
 template <typename Guards>
-auto World<Guards>::deliver(const NodeId &from, const NodeId &to, const Message &message) -> void
+auto VirtualCluster<Guards>::deliver(const NodeId &from, const NodeId &to, const Message &message)
+        -> void
 {
     const auto [step, key] = stepOf(message);
     if (!key.empty())
         reach(step, key, false);
-    // The fault may have struck the link or the node at this very moment.
+    // The fault may just have cut the link or stopped the node.
     if (!network.passes(from, to))
         return;
     runOn(to, [this, to, message] { handle(to, message); });
@@ -149,7 +151,7 @@
 }
 
 template <typename Guards>
-auto World<Guards>::handle(const NodeId &to, const Message &message) -> void
+auto VirtualCluster<Guards>::handle(const NodeId &to, const Message &message) -> void
 {
     auto &node = nodes[to];
     if (!node.keeper)
@@ -160,17 +162,17 @@
         node.keeper->sayHomeIsElsewhere({message.from.node, submit->waiter}, effects);
     else
         node.keeper->didReceive(message, instant(node), effects);
-    carryOut(to, std::move(effects));
+    applyEffects(to, std::move(effects));
 }
 
 template <typename Guards>
-auto World<Guards>::dispatch(const NodeId &id, SlotDispatch dispatch) -> void
+auto VirtualCluster<Guards>::dispatch(const NodeId &id, SlotDispatch dispatch) -> void
 {
     const auto key = dispatch.order.key;
-    const auto life = m_lives[id];
+    const auto killCount = m_killCounts[id];
     reach(Step::Dispatch, key, false);
-    runInLife(id, life, [this, id, dispatch] {
-        // Sent to some gate: from here on it goes its way without the primary.
+    runUnlessKilled(id, killCount, [this, id, dispatch] {
+        // The call is sent to a gate and runs independently of the primary from now on.
         time.after(Duration(randomBelow(random, 3000)),
                    [this, id, dispatch] { execute(id, dispatch); });
     });
@@ -178,43 +180,43 @@
 }
 
 template <typename Guards>
-auto World<Guards>::execute(const NodeId &id, const SlotDispatch &dispatch) -> void
+auto VirtualCluster<Guards>::execute(const NodeId &id, const SlotDispatch &dispatch) -> void
 {
-    const auto fate = randomBelow(random, 100);
-    auto end = DispatchEnd();
-    end.didNotRun = randomBelow(random, 100) < notRunPercent;
-    if (!end.didNotRun) {
-        auto run = SeenRun{dispatch.order.key, 0, time.now()};
+    const auto outcomeChoice = randomBelow(random, 100);
+    auto result = DispatchResult();
+    result.didNotRun = randomBelow(random, 100) < notRunPercent;
+    if (!result.didNotRun) {
+        auto run = ObservedRun{dispatch.order.key, 0, time.now()};
         for (const auto &waiter : dispatch.order.waiters) {
             run.attempts.push_back(waiter.number / stepsPerAttempt);
-            run.fingerprint = ledger.attempts[run.attempts.back()].fingerprint;
+            run.fingerprint = checker.attempts[run.attempts.back()].fingerprint;
         }
-        run.payload = "run " + std::to_string(ledger.runs.size()) + " of " + run.key;
-        if (fate < 25)
+        run.payload = "run " + std::to_string(checker.runs.size()) + " of " + run.key;
+        if (outcomeChoice < 25)
             run.payload.resize(2 * maxPayload, '.');
-        end.answer = {fate < 90 ? Outcome::Answered : Outcome::Failed};
-        end.answer.payload = run.payload;
-        if (fate >= 97)
-            end.answer = unknownAnswer();
-        ledger.runs.push_back(std::move(run));
+        result.answer = {outcomeChoice < 90 ? Outcome::Answered : Outcome::Failed};
+        result.answer.payload = run.payload;
+        if (outcomeChoice >= 97)
+            result.answer = unknownAnswer();
+        checker.runs.push_back(std::move(run));
     }
-    const auto life = m_lives[id];
-    time.after(Duration(randomBelow(random, longestRun)), [this, id, dispatch, end, life] {
+    const auto killCount = m_killCounts[id];
+    time.after(Duration(randomBelow(random, maxRunTime)), [this, id, dispatch, result, killCount] {
         const auto key = dispatch.order.key;
         reach(Step::Answer, key, false);
-        runInLife(id, life, [this, id, dispatch, end] {
+        runUnlessKilled(id, killCount, [this, id, dispatch, result] {
             auto &node = nodes[id];
             auto effects = KeeperEffects();
-            node.keeper->didEnd(dispatch.slot, dispatch.order.key, dispatch.order.bind, end,
+            node.keeper->didEnd(dispatch.slot, dispatch.order.key, dispatch.order.bind, result,
                                 instant(node), effects);
-            carryOut(id, std::move(effects));
+            applyEffects(id, std::move(effects));
         });
         reach(Step::Answer, key, true);
     });
 }
 
 template <typename Guards>
-auto World<Guards>::read(const NodeId &id) -> void
+auto VirtualCluster<Guards>::read(const NodeId &id) -> void
 {
     const auto domain = nodes[id].domain;
     callStore(
@@ -223,12 +225,12 @@
                 auto &node = nodes[to];
                 auto effects = KeeperEffects();
                 node.keeper->didRead(result, instant(node), view(node), effects);
-                carryOut(to, std::move(effects));
+                applyEffects(to, std::move(effects));
             });
 }
 
 template <typename Guards>
-auto World<Guards>::write(const NodeId &id, const TableWrite &write) -> void
+auto VirtualCluster<Guards>::write(const NodeId &id, const TableWrite &write) -> void
 {
     const auto domain = nodes[id].domain;
     reach(Step::CompareAndSwap, "", false);
@@ -238,7 +240,7 @@
                 auto &node = nodes[to];
                 auto effects = KeeperEffects();
                 node.keeper->didWrite(result, write.revision + 1, instant(node), effects);
-                carryOut(to, std::move(effects));
+                applyEffects(to, std::move(effects));
             });
     reach(Step::CompareAndSwap, "", true);
 }
