--- a/include/stairspur/keyed/HomeChanges.h
+++ b/include/stairspur/keyed/CallerHomes.h
@@ -9,10 +9,10 @@
 namespace stairspur::keyed {
 
 /// Notices when a configuration gives a caller's keys another home than the one before did.
-class HomeChanges
+class CallerHomes
 {
 public:
-    explicit HomeChanges(WallMilliseconds startedAt)
+    explicit CallerHomes(WallMilliseconds startedAt)
         : m_startedAt(startedAt)
     {}
 
--- a/include/stairspur/keyed/KeyedRouter.h
+++ b/include/stairspur/keyed/KeyedRouter.h
@@ -6,7 +6,7 @@
 
 #include <boost/asio/io_context.hpp>
 
-#include <stairspur/keyed/HomeChanges.h>
+#include <stairspur/keyed/CallerHomes.h>
 #include <stairspur/keyed/KeyedRoute.h>
 #include <stairspur/keyed/KeyedService.h>
 
@@ -70,7 +70,7 @@
     Peers &m_peers;
     Random m_random;
     TableCache m_tables;
-    HomeChanges m_homes;
+    CallerHomes m_homes;
     std::uint64_t m_lastWaiter = 0;
     std::shared_ptr<const membership::MembershipView> m_view;
 };
--- a/include/stairspur/keyed/KeyedService.h
+++ b/include/stairspur/keyed/KeyedService.h
@@ -16,7 +16,7 @@
 #include <stairspur/config/Configuration.h>
 #include <stairspur/core/Error.h>
 #include <stairspur/core/Random.h>
-#include <stairspur/keyed/HomeChanges.h>
+#include <stairspur/keyed/CallerHomes.h>
 #include <stairspur/keyed/PeerReachability.h>
 #include <stairspur/keyed/PlacementKeeper.h>
 #include <stairspur/membership/Member.h>
@@ -168,7 +168,7 @@
     /// By service, made from the view when first asked for.
     std::map<std::string, std::vector<PlacementMember>> m_members;
     config::ConfigurationPtr m_configuration;
-    HomeChanges m_homes;
+    CallerHomes m_homes;
     std::set<NodeId> m_confirmedGone;
     PeerReachability m_reachability;
     /// Where messages to the sender of the request in hand go: into its reply.
--- a/source/keyed/HomeChanges.cpp
+++ b/source/keyed/CallerHomes.cpp
@@ -1,10 +1,10 @@
-#include <stairspur/keyed/HomeChanges.h>
+#include <stairspur/keyed/CallerHomes.h>
 
 #include <algorithm>
 
 namespace stairspur::keyed {
 
-auto HomeChanges::adopt(const config::Configuration &configuration, WallMilliseconds now) -> bool
+auto CallerHomes::adopt(const config::Configuration &configuration, WallMilliseconds now) -> bool
 {
     auto domains = std::vector<std::string>();
     for (const auto &it : configuration.domains)
@@ -30,7 +30,7 @@
     return hasChanged;
 }
 
-auto HomeChanges::isSettled(const std::string &caller, WallMilliseconds now,
+auto CallerHomes::isSettled(const std::string &caller, WallMilliseconds now,
                             const RecordSettings &settings) const -> bool
 {
     const auto window = settings.keyLifetime + 2 * settings.clockMargin;
@@ -39,7 +39,7 @@
     return now > std::max(m_startedAt, changedAt) + window;
 }
 
-auto HomeChanges::homeOfCaller(const std::string &caller) const -> std::string
+auto CallerHomes::homeOfCaller(const std::string &caller) const -> std::string
 {
     const auto it = m_homes.find(caller);
     return it == m_homes.end() ? std::string() : it->second;
