--- a/include/stairspur/keyed/KeyedServiceCode.h
+++ b/include/stairspur/keyed/KeyedServiceCode.h
@@ -248,7 +248,7 @@
                         && homeOf(key, m_homes.homeOfCaller(caller), domains) == m_settings.domain
                         && sent->key == scopedKey(caller, key);
     if (!isHere) {
-        keeper.sayHomeIsElsewhere(waiter, effects);
+        keeper.replyMoved(waiter, effects);
         return carryOut(message.service, std::move(effects));
     }
     auto submit = *sent;
--- a/include/stairspur/keyed/PlacementKeeper.h
+++ b/include/stairspur/keyed/PlacementKeeper.h
@@ -106,7 +106,7 @@
     auto submit(std::uint32_t slot, const Waiter &waiter, const Submit &submit, Instant now,
                 KeeperEffects &effects) -> void;
     /// The key's home is elsewhere by the configuration in force here: whoever sent it has another one.
-    auto sayHomeIsElsewhere(const Waiter &waiter, KeeperEffects &effects) -> void;
+    auto replyMoved(const Waiter &waiter, KeeperEffects &effects) -> void;
     auto cancel(std::uint32_t slot, const Waiter &waiter) -> void;
     auto didEnd(std::uint32_t slot, const std::string &key, UpdateId bind, const DispatchEnd &end,
                 Instant now, KeeperEffects &effects) -> void;
--- a/include/stairspur/keyed/PlacementKeeperCode.h
+++ b/include/stairspur/keyed/PlacementKeeperCode.h
@@ -119,7 +119,7 @@
 }
 
 template <typename Guards>
-auto PlacementKeeper<Guards>::sayHomeIsElsewhere(const Waiter &waiter, KeeperEffects &effects)
+auto PlacementKeeper<Guards>::replyMoved(const Waiter &waiter, KeeperEffects &effects)
         -> void
 {
     auto reply = Reply{waiter.number, ReplyKind::Moved};
--- a/tests/keyed/WorldNodes.h
+++ b/tests/keyed/WorldNodes.h
@@ -157,7 +157,7 @@
     auto effects = KeeperEffects();
     const auto *submit = std::get_if<Submit>(&message.body);
     if (submit && homeOf(submit->key, node.callerHome, domains()) != node.domain)
-        node.keeper->sayHomeIsElsewhere({message.from.node, submit->waiter}, effects);
+        node.keeper->replyMoved({message.from.node, submit->waiter}, effects);
     else
         node.keeper->didReceive(message, instant(node), effects);
     carryOut(to, std::move(effects));
