--- a/include/stairspur/keyed/PlacementKeeper.h
+++ b/include/stairspur/keyed/PlacementKeeper.h
@@ -24,7 +24,7 @@
     Duration storeBackoff{
             1'000'000}; ///< After a store call that failed, doubled with each up to 16 times.
     Duration planInterval{200'000}; ///< Between two looks at the members while nothing is going on.
-    Duration forgetInterval{10'000'000};
+    Duration expiryInterval{10'000'000};
 };
 
 /// What a read of the store gave.
--- a/include/stairspur/keyed/PlacementKeeperCode.h
+++ b/include/stairspur/keyed/PlacementKeeperCode.h
@@ -33,7 +33,7 @@
     }
     const auto shouldForget = now.steady >= m_nextForget;
     if (shouldForget)
-        m_nextForget = now.steady + m_settings.forgetInterval;
+        m_nextForget = now.steady + m_settings.expiryInterval;
     for (auto &[number, slot] : m_slots) {
         auto own = Effects();
         slot->tick(now, own);
--- a/tests/keyed/World.h
+++ b/tests/keyed/World.h
@@ -191,7 +191,7 @@
         settings.offerTimeout = ms(300);
         settings.storeBackoff = ms(60);
         settings.planInterval = ms(40);
-        settings.forgetInterval = ms(200);
+        settings.expiryInterval = ms(200);
         return settings;
     }
 
