--- a/include/stairspur/keyed/KeyedServiceEffects.h
+++ b/include/stairspur/keyed/KeyedServiceEffects.h
@@ -153,7 +153,7 @@
                 read.table = decodePlacementTable(pair.value);
             }
         } catch (const InputError &e) {
-            read.isDone = false;
+            read.hasSucceeded = false;
             log::Line(log::Severity::Error, "placement-table-damaged").add("error", e.what());
         }
         auto effects = KeeperEffects();
--- a/include/stairspur/keyed/PlacementKeeper.h
+++ b/include/stairspur/keyed/PlacementKeeper.h
@@ -30,7 +30,7 @@
 /// What a read of the store gave.
 struct TableRead
 {
-    bool isDone = false;        ///< False: no answer.
+    bool hasSucceeded = false;        ///< False: no answer.
     std::uint64_t revision = 0; ///< Of the store's key; 0: there is none yet.
     PlacementTable table;       ///< Empty when there is none.
 };
--- a/include/stairspur/keyed/PlacementKeeperProposals.h
+++ b/include/stairspur/keyed/PlacementKeeperProposals.h
@@ -60,7 +60,7 @@
 {
     if (m_phase != Phase::Reading)
         return;
-    if (!read.isDone)
+    if (!read.hasSucceeded)
         return backOff(now);
     m_failures = 0;
     m_shouldRefresh = false;
