--- a/include/stairspur/keyed/KeyedServiceEffects.h
+++ b/include/stairspur/keyed/KeyedServiceEffects.h
@@ -213,7 +213,7 @@
 template <PlacementStore Store, KeyedPeers Peers>
 auto KeyedService<Store, Peers>::didHear(const NodeId &node) -> void
 {
-    if (m_reachability.didHear(node))
+    if (m_reachability.didReceive(node))
         m_members.clear();
 }
 
@@ -234,7 +234,7 @@
     const auto &slots = keeperOf(lookup.service).table().slots;
     if (lookup.slot >= slots.size() || slots[lookup.slot].witness != m_settings.own)
         return;
-    m_reachability.suspect(slots[lookup.slot].primary.node, monotonicNow());
+    m_reachability.requestProbe(slots[lookup.slot].primary.node, monotonicNow());
 }
 
 /// Asks the nodes that did not answer for their tables, which any node gives: a sign of life.
--- a/include/stairspur/keyed/PeerReachability.h
+++ b/include/stairspur/keyed/PeerReachability.h
@@ -29,7 +29,7 @@
     auto didFail(const NodeId &node, TimePoint now) -> void;
 
     /// `node` answered, or sent something itself. Whether it was unreachable until now.
-    auto didHear(const NodeId &node) -> bool;
+    auto didReceive(const NodeId &node) -> bool;
 
     [[nodiscard]] auto isUnreachable(const NodeId &node) const -> bool;
 
@@ -37,7 +37,7 @@
     auto takeDueProbes(TimePoint now) -> std::vector<NodeId>;
 
     /// Somebody else could not reach `node`: ask it soon.
-    auto suspect(const NodeId &node, TimePoint now) -> void;
+    auto requestProbe(const NodeId &node, TimePoint now) -> void;
 
     /// Forgets nodes that are not among `known`.
     template <typename IsKnown>
--- a/source/keyed/PeerReachability.cpp
+++ b/source/keyed/PeerReachability.cpp
@@ -13,7 +13,7 @@
         state.isUnreachable = true;
 }
 
-auto PeerReachability::didHear(const NodeId &node) -> bool
+auto PeerReachability::didReceive(const NodeId &node) -> bool
 {
     const auto it = m_nodes.find(node);
     if (it == m_nodes.end())
@@ -41,7 +41,7 @@
     return due;
 }
 
-auto PeerReachability::suspect(const NodeId &node, TimePoint now) -> void
+auto PeerReachability::requestProbe(const NodeId &node, TimePoint now) -> void
 {
     m_nodes.try_emplace(node, State{now, now});
 }
