--- a/include/stairspur/keyed/CallerHomes.h
+++ b/include/stairspur/keyed/CallerHomes.h
@@ -8,7 +8,7 @@
 
 namespace stairspur::keyed {
 
-/// Notices when a configuration gives a caller's keys another home than the one before did.
+/// Keeps the home failure domain of each caller's keys as the current configuration gives it, and when it last changed.
 class CallerHomes
 {
 public:
@@ -16,23 +16,25 @@
         : m_startedAt(startedAt)
     {}
 
-    /// Whether some known caller's home changed against the configuration before.
+    /// Replaces the homes and domains by those of `configuration`. Returns whether the set of domains, or the home of a caller
+    /// that the previous configuration has too, differs from the previous configuration.
     auto adopt(const config::Configuration &configuration, WallMilliseconds now) -> bool;
 
-    /// Whether keys of `caller` have had their present home for longer than they live. A node that started later than
-    /// that can't tell, and says no.
+    /// Returns whether the home of `caller` has been the same for longer than the lifetime of a key. Returns false until
+    /// this node has run for that long, since it has not recorded earlier changes.
     [[nodiscard]] auto isSettled(const std::string &caller, WallMilliseconds now,
                                  const RecordSettings &settings) const -> bool;
 
-    /// The home that the caller's keys have by themselves; empty: chosen by hash.
+    /// Returns the configured home of keys of `caller`; empty when it is chosen by hash.
     [[nodiscard]] auto homeOfCaller(const std::string &caller) const -> std::string;
+    /// Returns the names of the configured failure domains, sorted.
     [[nodiscard]] auto domains() const -> const std::vector<std::string> & { return m_domains; }
 
 private:
     WallMilliseconds m_startedAt;
     std::vector<std::string> m_domains;
-    std::map<std::string, std::string> m_homes; ///< By caller.
-    std::map<std::string, WallMilliseconds> m_changedAt;
+    std::map<std::string, std::string> m_homes;          ///< By caller.
+    std::map<std::string, WallMilliseconds> m_changedAt; ///< By caller.
     WallMilliseconds m_domainsChangedAt = 0;
 };
 
--- a/include/stairspur/keyed/PeerReachability.h
+++ b/include/stairspur/keyed/PeerReachability.h
@@ -11,13 +11,13 @@
 struct ReachabilitySettings
 {
     Duration unreachableAfter{
-            500'000}; ///< Failures over this time, with nothing heard between, count.
-    Duration probeInterval{100'000}; ///< Between two probes of a node that does not answer.
+            500'000}; ///< A node that failed for this long, with nothing received, is unreachable.
+    Duration probeInterval{100'000}; ///< Between two probes of a node that doesn't reply.
 };
 
-/// Which nodes this one cannot reach, by its own links, long before membership calls them dead. A pair's survivor goes by
-/// it: taking a slot over is safe whether the other one has failed or not, since the old epoch is sealed first, so a wrong
-/// suspicion costs a write to the store and no more.
+/// Tracks which nodes are unreachable over this node's own links, long before membership declares them dead. The remaining
+/// member of a primary and witness pair takes over a slot on this basis. The takeover is safe whether or not the other
+/// member has failed, because the old epoch is sealed first; a false detection costs one write to the store.
 class PeerReachability
 {
 public:
@@ -25,21 +25,22 @@
         : m_settings(settings)
     {}
 
-    /// A message to `node` got no reply.
+    /// Records that a message to `node` got no reply.
     auto didFail(const NodeId &node, TimePoint now) -> void;
 
-    /// `node` answered, or sent something itself. Whether it was unreachable until now.
+    /// Records that a message of `node` was received, a reply or not. Returns whether `node` was unreachable until then.
     auto didReceive(const NodeId &node) -> bool;
 
+    /// Returns whether `node` has failed for `unreachableAfter` with nothing received.
     [[nodiscard]] auto isUnreachable(const NodeId &node) const -> bool;
 
-    /// The nodes to ask for a sign of life now: those that failed and were not asked for a while.
+    /// Returns the nodes to probe now and sets their next probe: tracked nodes whose last probe was `probeInterval` ago.
     auto takeDueProbes(TimePoint now) -> std::vector<NodeId>;
 
-    /// Somebody else could not reach `node`: ask it soon.
+    /// Makes a probe of `node` due, after another node could not reach it.
     auto requestProbe(const NodeId &node, TimePoint now) -> void;
 
-    /// Forgets nodes that are not among `known`.
+    /// Removes the nodes for which `isKnown` returns false.
     template <typename IsKnown>
     auto retain(const IsKnown &isKnown) -> void
     {
@@ -49,7 +50,7 @@
 private:
     struct State
     {
-        TimePoint since; ///< Of the first failure with nothing heard after it.
+        TimePoint since; ///< Time of the first failure with nothing received after it.
         TimePoint nextProbe;
         bool hasFailed = false;
         bool isUnreachable = false;
--- a/include/stairspur/keyed/PlacementKeeperCode.h
+++ b/include/stairspur/keyed/PlacementKeeperCode.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The member functions of PlacementKeeper, for who instantiates it with other guards.
+// The definitions of PlacementKeeper's member functions, for instantiations with other guards.
 
 #include <algorithm>
 #include <utility>
@@ -31,15 +31,15 @@
         if (it.isOfService && it.isAlive && it.replica != m_own)
             m_peers.push_back(it.replica);
     }
-    const auto shouldForget = now.steady >= m_nextForget;
-    if (shouldForget)
-        m_nextForget = now.steady + m_settings.expiryInterval;
+    const auto shouldDropExpired = now.steady >= m_nextExpiry;
+    if (shouldDropExpired)
+        m_nextExpiry = now.steady + m_settings.expiryInterval;
     for (auto &[number, slot] : m_slots) {
-        auto own = Effects();
-        slot->tick(now, own);
-        if (shouldForget)
+        auto slotEffects = Effects();
+        slot->tick(now, slotEffects);
+        if (shouldDropExpired)
             slot->forget(now);
-        pass(number, std::move(own), effects);
+        mergeEffects(number, std::move(slotEffects), effects);
     }
     switch (m_phase) {
     case Phase::Idle:
@@ -49,12 +49,12 @@
             m_nextStep = now.steady + m_settings.planInterval;
             return;
         }
-        m_phase = Phase::Gathering;
+        m_phase = Phase::Batching;
         m_nextStep = now.steady
                      + Duration(randomBelow(m_random,
                                             std::uint64_t(m_settings.batchWindow.count()) + 1));
         return;
-    case Phase::Gathering:
+    case Phase::Batching:
         if (now.steady < m_nextStep)
             return;
         m_phase = Phase::Reading;
@@ -64,7 +64,7 @@
         return resendOffers(now, effects);
     case Phase::Reading:
     case Phase::Writing:
-        return; // The store's client reports a timeout as a failure.
+        return; // The store's client reports a timeout as a failed call.
     }
 }
 
@@ -75,27 +75,27 @@
     if (message.to.session != 0 && message.to != m_own)
         return;
     const auto number = message.slot;
-    auto own = Effects();
+    auto slotEffects = Effects();
     const auto *body = &message.body;
     if (const auto *update = std::get_if<RecordUpdate>(body)) {
-        slot(number).witness().didReceiveUpdate(message.from, *update, own);
+        slot(number).witness().didReceiveUpdate(message.from, *update, slotEffects);
         m_shouldRefresh = m_shouldRefresh || update->epoch > slot(number).state().placement.epoch;
     } else if (const auto *ack = std::get_if<RecordAck>(body)) {
-        slot(number).primary().didReceiveAck(message.from, *ack, now, own);
+        slot(number).primary().didReceiveAck(message.from, *ack, now, slotEffects);
     } else if (const auto *refusal = std::get_if<RecordRefusal>(body)) {
-        slot(number).didReceiveRefusal(message.from, *refusal, now, own);
+        slot(number).didReceiveRefusal(message.from, *refusal, now, slotEffects);
     } else if (const auto *notice = std::get_if<PlacementNotice>(body)) {
         adoptSlot(number, notice->placement, now, effects);
     } else if (const auto *offer = std::get_if<SnapshotOffer>(body)) {
-        slot(number).didReceiveOffer(message.from, *offer, own);
+        slot(number).didReceiveOffer(message.from, *offer, slotEffects);
     } else if (std::holds_alternative<SnapshotAccept>(*body)) {
         didReceiveAccept(message, effects);
     } else if (const auto *late = std::get_if<LateOutcome>(body)) {
-        slot(number).primary().didReceiveLateOutcome(message.from, *late, now, own);
+        slot(number).primary().didReceiveLateOutcome(message.from, *late, now, slotEffects);
     } else if (const auto *accept = std::get_if<LateAccept>(body)) {
         slot(number).primary().didReceiveLateAccept(*accept);
     } else if (const auto *lookup = std::get_if<Lookup>(body)) {
-        slot(number).witness().lookUp({message.from.node, lookup->waiter}, *lookup, own);
+        slot(number).witness().lookUp({message.from.node, lookup->waiter}, *lookup, slotEffects);
     } else if (const auto *call = std::get_if<Submit>(body)) {
         return submit(number, {message.from.node, call->waiter}, *call, now, effects);
     } else if (std::holds_alternative<TableRequest>(*body)) {
@@ -103,7 +103,7 @@
     } else if (const auto *table = std::get_if<TableNotice>(body)) {
         adoptTable(table->table, now, effects);
     }
-    pass(number, std::move(own), effects);
+    mergeEffects(number, std::move(slotEffects), effects);
 }
 
 template <typename Guards>
@@ -111,16 +111,15 @@
                                      const Submit &submit, Instant now, KeeperEffects &effects)
         -> void
 {
-    auto own = Effects();
+    auto slotEffects = Effects();
     auto &replica = slot(number);
     m_shouldRefresh = m_shouldRefresh || submit.epoch > replica.state().placement.epoch;
-    replica.primary().submit(waiter, submit, now, own);
-    pass(number, std::move(own), effects);
+    replica.primary().submit(waiter, submit, now, slotEffects);
+    mergeEffects(number, std::move(slotEffects), effects);
 }
 
 template <typename Guards>
-auto PlacementKeeper<Guards>::replyMoved(const Waiter &waiter, KeeperEffects &effects)
-        -> void
+auto PlacementKeeper<Guards>::replyMoved(const Waiter &waiter, KeeperEffects &effects) -> void
 {
     auto reply = Reply{waiter.number, ReplyKind::Moved};
     reply.retryAfter = m_settings.slot.resendInterval;
@@ -138,9 +137,9 @@
                                      const DispatchEnd &end, Instant now, KeeperEffects &effects)
         -> void
 {
-    auto own = Effects();
-    slot(number).primary().didEnd(key, bind, end, now, own);
-    pass(number, std::move(own), effects);
+    auto slotEffects = Effects();
+    slot(number).primary().didEnd(key, bind, end, now, slotEffects);
+    mergeEffects(number, std::move(slotEffects), effects);
 }
 
 template <typename Guards>
@@ -165,14 +164,14 @@
 auto PlacementKeeper<Guards>::adoptSlot(std::uint32_t number, const SlotPlacement &placement,
                                         Instant now, KeeperEffects &effects) -> void
 {
-    const auto concernsUs = placement.primary == m_own || placement.witness == m_own;
-    if (concernsUs || m_slots.contains(number)) {
-        auto own = Effects();
-        slot(number).adopt(placement, now, own);
-        pass(number, std::move(own), effects);
+    const auto isOwnSlot = placement.primary == m_own || placement.witness == m_own;
+    if (isOwnSlot || m_slots.contains(number)) {
+        auto slotEffects = Effects();
+        slot(number).adopt(placement, now, slotEffects);
+        mergeEffects(number, std::move(slotEffects), effects);
     }
     if (number >= m_table.slots.size())
-        m_shouldRefresh = true; // A slot of a table that has not been read here.
+        m_shouldRefresh = true; // The slot is in a table that this node has not read.
     else if (placement.epoch > m_table.slots[number].epoch)
         m_table.slots[number] = placement;
 }
@@ -189,9 +188,9 @@
 }
 
 template <typename Guards>
-auto PlacementKeeper<Guards>::noteSlot(std::uint32_t number) -> void
+auto PlacementKeeper<Guards>::recordSlotPlacement(std::uint32_t number) -> void
 {
-    // A slot may have learnt its placement from a refusal.
+    // A refusal may have given the slot a newer placement.
     const auto it = m_slots.find(number);
     if (it == m_slots.end() || number >= m_table.slots.size())
         return;
@@ -227,10 +226,10 @@
 }
 
 template <typename Guards>
-auto PlacementKeeper<Guards>::pass(std::uint32_t slot, Effects &&from, KeeperEffects &effects)
-        -> void
+auto PlacementKeeper<Guards>::mergeEffects(std::uint32_t slot, Effects &&from,
+                                           KeeperEffects &effects) -> void
 {
-    noteSlot(slot);
+    recordSlotPlacement(slot);
     for (auto &it : from.sends)
         send(slot, it.to, std::move(it.body), effects);
     for (auto &it : from.dispatches)
--- a/include/stairspur/keyed/PlacementKeeperProposals.h
+++ b/include/stairspur/keyed/PlacementKeeperProposals.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The member functions of PlacementKeeper that change the placement.
+// The definitions of PlacementKeeper's member functions that change the placement.
 
 #include <algorithm>
 #include <utility>
@@ -17,10 +17,10 @@
 {
     auto plan = planPlacement(m_table, members, now.wall, m_settings.placement);
     if (!Guards::LossNeedsProof && !plan.blocked.empty()) {
-        auto believing = members;
-        for (auto &it : believing)
+        auto assumedMembers = members;
+        for (auto &it : assumedMembers)
             it.isConfirmedGone = it.isConfirmedGone || !it.isAlive;
-        plan = planPlacement(m_table, believing, now.wall, m_settings.placement);
+        plan = planPlacement(m_table, assumedMembers, now.wall, m_settings.placement);
     }
     for (const auto number : plan.blocked) {
         if (m_blocked.insert(number).second)
@@ -76,9 +76,10 @@
     m_phase = Phase::Offering;
     m_nextStep = now.steady + m_settings.offerTimeout;
     m_nextOffer = now.steady + m_settings.slot.resendInterval;
-    const auto isEveryoneReady = std::all_of(m_proposals.begin(), m_proposals.end(),
-                                             [](const auto &it) { return it.awaited.empty(); });
-    if (isEveryoneReady)
+    const auto areAllOffersAccepted =
+            std::all_of(m_proposals.begin(), m_proposals.end(),
+                        [](const auto &it) { return it.awaited.empty(); });
+    if (areAllOffersAccepted)
         startWriting(effects);
 }
 
@@ -91,7 +92,7 @@
     if (!change.proposed.source.isNone()) {
         auto &replica = slot(change.slot);
         if (!replica.state().hasRecords)
-            return; // Nothing to continue from; the other member is the one to propose.
+            return; // This node has no records to continue from; the other member has to propose.
         if (Guards::ProposerSealsFirst)
             replica.seal();
         for (const auto &it : {change.proposed.primary, change.proposed.witness}) {
@@ -125,8 +126,8 @@
         });
         if (!m_proposals.empty())
             return startWriting(effects);
-        // The slots are sealed until a renewal is written, so that no time is lost. Whoever did not answer is probed
-        // meanwhile and left out of the next plan.
+        // The slots stay sealed until a renewal is written, so a new plan is made soon. The members that did not reply are
+        // probed in the meantime, and the new plan leaves them out.
         m_shouldRefresh = true;
         return finish(now, m_settings.planInterval);
     }
@@ -147,15 +148,16 @@
         return;
     const auto &accept = std::get<SnapshotAccept>(message.body);
     for (auto &it : m_proposals) {
-        const auto isMeant = it.change.slot == message.slot
-                             && it.change.proposed.epoch == accept.epoch
-                             && it.offerSequence == accept.sequence;
-        if (isMeant)
+        const auto isCurrentOffer = it.change.slot == message.slot
+                                    && it.change.proposed.epoch == accept.epoch
+                                    && it.offerSequence == accept.sequence;
+        if (isCurrentOffer)
             it.awaited.erase(message.from);
     }
-    const auto isEveryoneReady = std::all_of(m_proposals.begin(), m_proposals.end(),
-                                             [](const auto &it) { return it.awaited.empty(); });
-    if (isEveryoneReady)
+    const auto areAllOffersAccepted =
+            std::all_of(m_proposals.begin(), m_proposals.end(),
+                        [](const auto &it) { return it.awaited.empty(); });
+    if (areAllOffersAccepted)
         startWriting(effects);
 }
 
@@ -194,29 +196,29 @@
     for (const auto &it : m_proposals) {
         if (it.change.slot >= table.slots.size())
             table.slots.resize(it.change.slot + 1);
-        noticeMembers(it.change, table.slots[it.change.slot], effects);
+        notifyMembers(it.change, table.slots[it.change.slot], effects);
         table.slots[it.change.slot] = it.change.proposed;
     }
     adoptTable(table, now, effects);
-    noticePeers(effects);
+    notifyPeers(effects);
     finish(now, Duration(0));
 }
 
 template <typename Guards>
-auto PlacementKeeper<Guards>::noticePeers(KeeperEffects &effects) -> void
+auto PlacementKeeper<Guards>::notifyPeers(KeeperEffects &effects) -> void
 {
     for (const auto &it : m_peers)
         send(0, it, TableNotice{m_table}, effects);
 }
 
 template <typename Guards>
-auto PlacementKeeper<Guards>::noticeMembers(const PlacementChange &change,
+auto PlacementKeeper<Guards>::notifyMembers(const PlacementChange &change,
                                             const SlotPlacement &former, KeeperEffects &effects)
         -> void
 {
-    const auto concerned = std::set<Replica>{former.primary, former.witness,
-                                             change.proposed.primary, change.proposed.witness};
-    for (const auto &it : concerned) {
+    const auto notified = std::set<Replica>{former.primary, former.witness, change.proposed.primary,
+                                            change.proposed.witness};
+    for (const auto &it : notified) {
         if (!it.isNone() && it != m_own)
             send(change.slot, it, PlacementNotice{change.proposed}, effects);
     }
@@ -234,9 +236,10 @@
 auto PlacementKeeper<Guards>::backOff(Instant now) -> void
 {
     m_failures = std::min(m_failures + 1, MaxBackoffShift + 1);
-    const auto longest = m_settings.storeBackoff * (1U << (m_failures - 1));
-    // Between half and the whole, so that the nodes of a domain don't come back together.
-    const auto half = std::uint64_t(longest.count()) / 2;
+    const auto maxDelay = m_settings.storeBackoff * (1U << (m_failures - 1));
+    // The delay is random between half and the whole of the maximum, so that the nodes of a domain don't retry at the same
+    // time.
+    const auto half = std::uint64_t(maxDelay.count()) / 2;
     m_shouldRefresh = true;
     finish(now, Duration(half + randomBelow(m_random, half + 1)));
 }
--- a/source/keyed/CallerHomes.cpp
+++ b/source/keyed/CallerHomes.cpp
@@ -17,15 +17,15 @@
 
     auto homes = std::map<std::string, std::string>();
     for (const auto &it : configuration.callers) {
-        const auto known = m_homes.find(it.name);
-        if (known != m_homes.end() && known->second != it.homeDomain) {
+        const auto former = m_homes.find(it.name);
+        if (former != m_homes.end() && former->second != it.homeDomain) {
             m_changedAt[it.name] = now;
             hasChanged = true;
         }
         homes[it.name] = it.homeDomain;
     }
-    // FIXME: A caller that is left out of one configuration and comes back with another home in a later one is not
-    // noticed; its keys of the time before could run again.
+    // FIXME: When one configuration omits a caller and a later one has it again with another home, the change of home is
+    //        not detected, and keys that the caller used earlier could run again.
     m_homes = std::move(homes);
     return hasChanged;
 }
--- a/source/keyed/KeyHome.cpp
+++ b/source/keyed/KeyHome.cpp
@@ -10,9 +10,9 @@
 namespace stairspur::keyed {
 
 static constexpr auto UuidLength = std::size_t{36};
-static constexpr auto UuidVersionPlace = std::size_t{14};
+static constexpr auto UuidVersionIndex = std::size_t{14};
 static constexpr auto HexBase = 16;
-/// Parts caller and key in a scoped key; a caller's name in the configuration can't hold it.
+/// Separates the caller from the key in a scoped key. The configuration doesn't allow this character in a caller's name.
 static constexpr auto ScopeSeparator = '\x1f';
 
 auto explicitHomeOf(std::string_view key, const std::vector<std::string> &domains)
@@ -59,13 +59,13 @@
 static auto isUuidVersion7(std::string_view text) -> bool
 {
     for (std::size_t index = 0; index < text.size(); ++index) {
-        const auto isHyphenPlace = index == 8 || index == 13 || index == 18 || index == 23;
-        if (isHyphenPlace != (text[index] == '-'))
+        const auto isHyphenIndex = index == 8 || index == 13 || index == 18 || index == 23;
+        if (isHyphenIndex != (text[index] == '-'))
             return false;
-        if (!isHyphenPlace && std::isxdigit(static_cast<unsigned char>(text[index])) == 0)
+        if (!isHyphenIndex && std::isxdigit(static_cast<unsigned char>(text[index])) == 0)
             return false;
     }
-    return text[UuidVersionPlace] == '7';
+    return text[UuidVersionIndex] == '7';
 }
 
 auto mintTimeOf(std::string_view key) -> std::optional<WallMilliseconds>
@@ -75,7 +75,7 @@
     const auto uuid = key.substr(key.size() - UuidLength);
     if (!isUuidVersion7(uuid))
         return std::nullopt;
-    // The first 48 bits are milliseconds since the Unix epoch (RFC 9562, section 5.7).
+    // The first 48 bits are the milliseconds since the Unix epoch (RFC 9562, section 5.7).
     const auto digits = std::string(uuid.substr(0, 8)) + std::string(uuid.substr(9, 4));
     auto value = WallMilliseconds{0};
     std::from_chars(digits.data(), digits.data() + digits.size(), value, HexBase);
--- a/source/keyed/PlacementPlan.cpp
+++ b/source/keyed/PlacementPlan.cpp
@@ -12,31 +12,32 @@
 static constexpr auto PrimaryLoad = std::uint32_t{2};
 static constexpr auto WitnessLoad = std::uint32_t{1};
 
-/// What has become of a replica that a table names.
-enum class Fate {
+/// The status of a replica that a table names.
+enum class ReplicaStatus {
     Usable,
-    Leaving, ///< Still there, but to be relieved.
-    Silent,  ///< Taken for dead, without a proof.
-    Ended, ///< Its process is proven to have ended: the node has a new session, or an operator vouches for it.
+    Leaving,      ///< Running, but its slots have to move to other nodes.
+    Unresponsive, ///< Dead by membership or unreachable, without proof that its process has ended.
+    Ended, ///< Its process is proven to have ended: the node has a new session, or an operator confirmed it.
 };
 
-static auto fateOf(const Replica &replica, const std::vector<PlacementMember> &members) -> Fate
+static auto statusOf(const Replica &replica, const std::vector<PlacementMember> &members)
+        -> ReplicaStatus
 {
     const auto it = std::find_if(members.begin(), members.end(), [&](const auto &member) {
         return member.replica.node == replica.node;
     });
     if (it == members.end())
-        return Fate::Silent;
+        return ReplicaStatus::Unresponsive;
     if (it->isConfirmedGone || it->replica.session > replica.session)
-        return Fate::Ended;
+        return ReplicaStatus::Ended;
     if (!it->isAlive)
-        return Fate::Silent;
-    return it->isLeaving ? Fate::Leaving : Fate::Usable;
+        return ReplicaStatus::Unresponsive;
+    return it->isLeaving ? ReplicaStatus::Leaving : ReplicaStatus::Usable;
 }
 
 namespace {
 
-/// Builds one plan: keeps count of the load as it hands out slots.
+/// Builds one plan and tracks the load of each node while it assigns slots.
 class Planner
 {
 public:
@@ -56,32 +57,32 @@
         }
     };
 
-    auto placeFirst() -> void;
+    auto placeInitially() -> void;
     auto repair(std::uint32_t slot) -> void;
     auto repairFromSurvivor(std::uint32_t slot, const Replica &survivor, bool isSurvivorLeaving,
                             PlacementCause cause) -> void;
     auto replaceBoth(std::uint32_t slot) -> void;
     auto balance() -> void;
     auto moveOnePrimary() -> bool;
-    auto bringWitnessesHome() -> void;
+    auto moveWitnessesToOwnService() -> void;
     auto propose(std::uint32_t slot, PlacementCause cause, const Replica &primary,
                  const Replica &witness, const Replica &source, const Replica &proposer) -> void;
 
     [[nodiscard]] auto memberOf(const Replica &replica) const -> const PlacementMember *;
-    [[nodiscard]] auto lowestRanked() const -> const PlacementMember *;
-    [[nodiscard]] auto pickPrimary(std::uint32_t slot, const Replica &except) const
+    [[nodiscard]] auto pickProposer() const -> const PlacementMember *;
+    [[nodiscard]] auto pickPrimary(std::uint32_t slot, const Replica &excluded) const
             -> const PlacementMember *;
     [[nodiscard]] auto pickWitness(std::uint32_t slot, const Replica &primary) const
             -> const PlacementMember *;
     [[nodiscard]] auto loadOf(const Replica &replica) const -> Load;
-    auto countPair(const SlotPlacement &placement) -> void;
-    auto discountPair(const SlotPlacement &placement) -> void;
+    auto addLoad(const SlotPlacement &placement) -> void;
+    auto removeLoad(const SlotPlacement &placement) -> void;
 
     const std::vector<PlacementMember> &m_members;
     WallMilliseconds m_now;
     const PlacementSettings &m_settings;
-    std::vector<const PlacementMember *> m_usable; ///< In the order of their ids.
-    std::vector<SlotPlacement> m_slots;            ///< As they will be.
+    std::vector<const PlacementMember *> m_usable; ///< Sorted by id.
+    std::vector<SlotPlacement> m_slots;            ///< With the planned changes applied.
     std::vector<bool> m_isChanged;
     std::map<Replica, Load> m_load;
     PlacementPlan m_plan;
@@ -104,13 +105,13 @@
     std::sort(m_usable.begin(), m_usable.end(),
               [](const auto *a, const auto *b) { return a->replica < b->replica; });
     for (const auto &it : m_slots)
-        countPair(it);
+        addLoad(it);
 }
 
 auto Planner::run() -> PlacementPlan
 {
     if (m_slots.empty()) {
-        placeFirst();
+        placeInitially();
         return std::move(m_plan);
     }
     for (std::uint32_t slot = 0; slot < m_slots.size(); ++slot)
@@ -119,7 +120,7 @@
     return std::move(m_plan);
 }
 
-auto Planner::placeFirst() -> void
+auto Planner::placeInitially() -> void
 {
     const auto nodes = static_cast<std::uint32_t>(std::count_if(
             m_usable.begin(), m_usable.end(), [](const auto *it) { return it->isOfService; }));
@@ -132,41 +133,45 @@
         const auto *primary = pickPrimary(slot, {});
         const auto *witness = pickWitness(slot, primary->replica);
         propose(slot, PlacementCause::FirstPlacement, primary->replica, witness->replica, {},
-                lowestRanked()->replica);
+                pickProposer()->replica);
     }
 }
 
 auto Planner::repair(std::uint32_t slot) -> void
 {
     const auto placement = m_slots[slot];
-    const auto primary = fateOf(placement.primary, m_members);
-    const auto witness = fateOf(placement.witness, m_members);
-    const auto isHere = [](Fate it) { return it == Fate::Usable || it == Fate::Leaving; };
+    const auto primary = statusOf(placement.primary, m_members);
+    const auto witness = statusOf(placement.witness, m_members);
+    const auto isRunning = [](ReplicaStatus it) {
+        return it == ReplicaStatus::Usable || it == ReplicaStatus::Leaving;
+    };
 
-    if (primary == Fate::Usable && witness == Fate::Usable)
+    if (primary == ReplicaStatus::Usable && witness == ReplicaStatus::Usable)
         return;
-    if (isHere(primary)) {
-        const auto cause = primary == Fate::Leaving   ? PlacementCause::PrimaryLeaving
-                           : witness == Fate::Leaving ? PlacementCause::WitnessLeaving
-                                                      : PlacementCause::WitnessLost;
-        const auto isOnlyPrimaryLeaving = primary == Fate::Leaving && witness == Fate::Usable;
+    if (isRunning(primary)) {
+        const auto cause = primary == ReplicaStatus::Leaving   ? PlacementCause::PrimaryLeaving
+                           : witness == ReplicaStatus::Leaving ? PlacementCause::WitnessLeaving
+                                                               : PlacementCause::WitnessLost;
+        const auto isOnlyPrimaryLeaving =
+                primary == ReplicaStatus::Leaving && witness == ReplicaStatus::Usable;
         if (!isOnlyPrimaryLeaving)
-            return repairFromSurvivor(slot, placement.primary, primary == Fate::Leaving, cause);
-        // The witness has the records: it becomes the primary, with a witness of its own.
-        discountPair(placement);
-        const auto *heir = memberOf(placement.witness);
-        const auto *other = heir->isOfService ? pickWitness(slot, placement.witness)
-                                              : pickPrimary(slot, placement.witness);
+            return repairFromSurvivor(slot, placement.primary, primary == ReplicaStatus::Leaving,
+                                      cause);
+        // The witness has the records, so it becomes the primary and gets a new witness.
+        removeLoad(placement);
+        const auto *successor = memberOf(placement.witness);
+        const auto *other = successor->isOfService ? pickWitness(slot, placement.witness)
+                                                   : pickPrimary(slot, placement.witness);
         if (!other)
-            return countPair(placement);
-        const auto &newPrimary = heir->isOfService ? placement.witness : other->replica;
-        const auto &newWitness = heir->isOfService ? other->replica : placement.witness;
+            return addLoad(placement);
+        const auto &newPrimary = successor->isOfService ? placement.witness : other->replica;
+        const auto &newWitness = successor->isOfService ? other->replica : placement.witness;
         return propose(slot, cause, newPrimary, newWitness, placement.primary, placement.primary);
     }
-    if (isHere(witness))
-        return repairFromSurvivor(slot, placement.witness, witness == Fate::Leaving,
+    if (isRunning(witness))
+        return repairFromSurvivor(slot, placement.witness, witness == ReplicaStatus::Leaving,
                                   PlacementCause::PrimaryLost);
-    if (primary == Fate::Ended || witness == Fate::Ended)
+    if (primary == ReplicaStatus::Ended || witness == ReplicaStatus::Ended)
         return replaceBoth(slot);
     m_plan.blocked.push_back(slot);
 }
@@ -175,38 +180,38 @@
                                  bool isSurvivorLeaving, PlacementCause cause) -> void
 {
     const auto placement = m_slots[slot];
-    discountPair(placement);
+    removeLoad(placement);
     const auto *member = memberOf(survivor);
-    const auto staysPrimary = !isSurvivorLeaving && member && member->isOfService;
-    if (!staysPrimary) {
+    const auto canStayPrimary = !isSurvivorLeaving && member && member->isOfService;
+    if (!canStayPrimary) {
         const auto *primary = pickPrimary(slot, survivor);
         const auto *witness = !primary            ? nullptr
                               : isSurvivorLeaving ? pickWitness(slot, primary->replica)
                                                   : member;
         if (!witness)
-            return countPair(placement);
+            return addLoad(placement);
         return propose(slot, cause, primary->replica, witness->replica, survivor, survivor);
     }
     const auto *other = pickWitness(slot, survivor);
     if (!other)
-        return countPair(placement);
-    // Both get the records, so the one that is primary of fewer slots may be it.
-    const auto isOtherLighter =
+        return addLoad(placement);
+    // Both get the records, so the one that is the primary of fewer slots can be the primary.
+    const auto hasOtherLessLoad =
             other->isOfService && loadOf(other->replica).primaries < loadOf(survivor).primaries;
-    const auto &primary = isOtherLighter ? other->replica : survivor;
-    const auto &witness = isOtherLighter ? survivor : other->replica;
+    const auto &primary = hasOtherLessLoad ? other->replica : survivor;
+    const auto &witness = hasOtherLessLoad ? survivor : other->replica;
     propose(slot, cause, primary, witness, survivor, survivor);
 }
 
 auto Planner::replaceBoth(std::uint32_t slot) -> void
 {
     const auto placement = m_slots[slot];
-    discountPair(placement);
-    const auto *proposer = lowestRanked();
+    removeLoad(placement);
+    const auto *proposer = pickProposer();
     const auto *primary = pickPrimary(slot, {});
     const auto *witness = primary ? pickWitness(slot, primary->replica) : nullptr;
     if (!proposer || !witness)
-        return countPair(placement);
+        return addLoad(placement);
     propose(slot, PlacementCause::BothLost, primary->replica, witness->replica, {},
             proposer->replica);
 }
@@ -217,56 +222,56 @@
         if (!moveOnePrimary())
             break;
     }
-    bringWitnessesHome();
+    moveWitnessesToOwnService();
 }
 
 auto Planner::moveOnePrimary() -> bool
 {
-    const PlacementMember *lightest = nullptr;
-    const PlacementMember *heaviest = nullptr;
+    const PlacementMember *leastLoaded = nullptr;
+    const PlacementMember *mostLoaded = nullptr;
     for (const auto *it : m_usable) {
         if (!it->isOfService)
             continue;
         const auto n = loadOf(it->replica).primaries;
-        if (!lightest || n < loadOf(lightest->replica).primaries)
-            lightest = it;
-        if (!heaviest || n > loadOf(heaviest->replica).primaries)
-            heaviest = it;
+        if (!leastLoaded || n < loadOf(leastLoaded->replica).primaries)
+            leastLoaded = it;
+        if (!mostLoaded || n > loadOf(mostLoaded->replica).primaries)
+            mostLoaded = it;
     }
-    if (!lightest
-        || loadOf(heaviest->replica).primaries
-                   < loadOf(lightest->replica).primaries + m_settings.balanceThreshold)
+    if (!leastLoaded
+        || loadOf(mostLoaded->replica).primaries
+                   < loadOf(leastLoaded->replica).primaries + m_settings.balanceThreshold)
         return false;
     for (std::uint32_t slot = 0; slot < m_slots.size(); ++slot) {
         const auto placement = m_slots[slot];
-        const auto isMovable = !m_isChanged[slot] && placement.primary == heaviest->replica
-                               && fateOf(placement.witness, m_members) == Fate::Usable;
+        const auto isMovable = !m_isChanged[slot] && placement.primary == mostLoaded->replica
+                               && statusOf(placement.witness, m_members) == ReplicaStatus::Usable;
         if (!isMovable)
             continue;
-        discountPair(placement);
-        propose(slot, PlacementCause::Balance, lightest->replica, placement.primary,
+        removeLoad(placement);
+        propose(slot, PlacementCause::Balance, leastLoaded->replica, placement.primary,
                 placement.primary, placement.primary);
         return true;
     }
     return false;
 }
 
-auto Planner::bringWitnessesHome() -> void
+auto Planner::moveWitnessesToOwnService() -> void
 {
     for (std::uint32_t slot = 0; slot < m_slots.size(); ++slot) {
         const auto placement = m_slots[slot];
         const auto *witness = memberOf(placement.witness);
         const auto isCandidate = !m_isChanged[slot] && witness && !witness->isOfService
-                                 && fateOf(placement.primary, m_members) == Fate::Usable;
+                                 && statusOf(placement.primary, m_members) == ReplicaStatus::Usable;
         if (!isCandidate)
             continue;
-        discountPair(placement);
-        const auto *better = pickWitness(slot, placement.primary);
-        if (!better || !better->isOfService) {
-            countPair(placement);
+        removeLoad(placement);
+        const auto *candidate = pickWitness(slot, placement.primary);
+        if (!candidate || !candidate->isOfService) {
+            addLoad(placement);
             continue;
         }
-        propose(slot, PlacementCause::Balance, placement.primary, better->replica,
+        propose(slot, PlacementCause::Balance, placement.primary, candidate->replica,
                 placement.primary, placement.primary);
     }
 }
@@ -282,7 +287,7 @@
     proposed.source = source;
     if (cause == PlacementCause::BothLost)
         proposed.lostAt = m_now;
-    countPair(proposed);
+    addLoad(proposed);
     m_slots[slot] = proposed;
     m_isChanged[slot] = true;
     m_plan.changes.push_back({slot, cause, std::move(proposed), proposer});
@@ -295,7 +300,7 @@
     return it == m_usable.end() ? nullptr : *it;
 }
 
-auto Planner::lowestRanked() const -> const PlacementMember *
+auto Planner::pickProposer() const -> const PlacementMember *
 {
     const auto it = std::find_if(m_usable.begin(), m_usable.end(),
                                  [](const auto *member) { return member->isOfService; });
@@ -307,7 +312,7 @@
     return hash64(replica.node, slot);
 }
 
-auto Planner::pickPrimary(std::uint32_t slot, const Replica &except) const
+auto Planner::pickPrimary(std::uint32_t slot, const Replica &excluded) const
         -> const PlacementMember *
 {
     const PlacementMember *best = nullptr;
@@ -316,7 +321,7 @@
         return std::tuple(load.primaries, load.total(), rankHash(slot, it.replica));
     };
     for (const auto *it : m_usable) {
-        if (!it->isOfService || it->replica == except)
+        if (!it->isOfService || it->replica == excluded)
             continue;
         if (!best || cost(*it) < cost(*best))
             best = it;
@@ -349,13 +354,13 @@
     return it == m_load.end() ? Load() : it->second;
 }
 
-auto Planner::countPair(const SlotPlacement &placement) -> void
+auto Planner::addLoad(const SlotPlacement &placement) -> void
 {
     ++m_load[placement.primary].primaries;
     ++m_load[placement.witness].witnesses;
 }
 
-auto Planner::discountPair(const SlotPlacement &placement) -> void
+auto Planner::removeLoad(const SlotPlacement &placement) -> void
 {
     --m_load[placement.primary].primaries;
     --m_load[placement.witness].witnesses;
--- a/tests/keyed/TestKeyHome.cpp
+++ b/tests/keyed/TestKeyHome.cpp
@@ -10,7 +10,7 @@
 
 static const auto domains = std::vector<std::string>{"bezigrad", "centre", "domzale"};
 
-Test(KeyHome, prefixGoesBeforeCallerGoesBeforeHash)
+Test(KeyHome, prefixPrecedesCallerHomeAndCallerHomePrecedesHash)
 {
     struct Case
     {
@@ -28,7 +28,7 @@
         cr_assert_eq(homeOf(it.key, it.callerHome, domains), it.expected, "key %s", it.key);
 }
 
-Test(KeyHome, hashSpreadsKeysAndMovesOnlyTheShareOfANewDomain)
+Test(KeyHome, hashSpreadsKeysAndANewDomainTakesOnlyItsShare)
 {
     auto counts = std::map<std::string, int>();
     auto moved = 0;
@@ -47,7 +47,7 @@
     cr_assert(moved > 800 && moved < 1200, "%d moved", moved);
 }
 
-Test(KeyHome, noDomainIsAnError)
+Test(KeyHome, emptyDomainsAreAnError)
 {
     cr_assert_throw(homeOf("order-1", "", {}), InputError);
 }
@@ -67,7 +67,7 @@
     struct Case
     {
         const char *key;
-        WallMilliseconds expected; ///< 0: none.
+        WallMilliseconds expected; ///< 0 when the key has no mint time.
     };
     const Case cases[] = {
             {"017f22e2-79b0-7cc3-98c4-dc0c0c07398f", 0x017f22e279b0},
--- a/tests/keyed/TestPlacementPlan.cpp
+++ b/tests/keyed/TestPlacementPlan.cpp
@@ -51,33 +51,34 @@
         cr_assert_eq(n, 4, "%s has %d", node.c_str(), n);
     for (const auto &it : table.slots)
         cr_assert_neq(rackOf(it.primary.node), rackOf(it.witness.node));
-    cr_assert(planPlacement(table, members, now, settings).changes.empty(), "it should be settled");
+    cr_assert(planPlacement(table, members, now, settings).changes.empty(),
+              "the plan of the placed table should be empty");
 }
 
-Test(PlacementPlan, oneNodeAloneIsNotPlaced)
+Test(PlacementPlan, singleNodeGetsNoSlots)
 {
     cr_assert(firstTable({member(1, 1)}).slots.empty());
 }
 
-Test(PlacementPlan, nodeOfAnotherServiceWitnessesWhereTheServiceHasTooFew)
+Test(PlacementPlan, nodeOfAnotherServiceIsWitnessWhenTheServiceHasTooFewNodes)
 {
-    auto foreign = member(2, 1);
-    foreign.isOfService = false;
-    const auto table = firstTable({member(1, 1), foreign});
+    auto otherService = member(2, 1);
+    otherService.isOfService = false;
+    const auto table = firstTable({member(1, 1), otherService});
     cr_assert_eq(table.slots.size(), 4);
     for (const auto &it : table.slots)
-        cr_assert_eq(it.witness.node, foreign.replica.node);
+        cr_assert_eq(it.witness.node, otherService.replica.node);
 }
 
-Test(PlacementPlan, witnessLeavesTheOtherServiceOnceTheOwnHasNodes)
+Test(PlacementPlan, witnessMovesToTheOwnServiceOnceItHasEnoughNodes)
 {
-    auto foreign = member(2, 1);
-    foreign.isOfService = false;
-    auto table = firstTable({member(1, 1), foreign});
-    apply(table, planPlacement(table, {member(1, 1), member(3, 1), foreign}, now, settings));
-    apply(table, planPlacement(table, {member(1, 1), member(3, 1), foreign}, now, settings));
+    auto otherService = member(2, 1);
+    otherService.isOfService = false;
+    auto table = firstTable({member(1, 1), otherService});
+    apply(table, planPlacement(table, {member(1, 1), member(3, 1), otherService}, now, settings));
+    apply(table, planPlacement(table, {member(1, 1), member(3, 1), otherService}, now, settings));
     for (const auto &it : table.slots)
-        cr_assert_neq(it.witness.node, foreign.replica.node);
+        cr_assert_neq(it.witness.node, otherService.replica.node);
 }
 
 Test(PlacementPlan, onlySlotsOfTheLostNodeMove)
@@ -91,9 +92,9 @@
     apply(after, plan);
     for (std::size_t slot = 0; slot < before.slots.size(); ++slot) {
         const auto &was = before.slots[slot];
-        const auto isConcerned = was.primary.node == members[0].replica.node
-                                 || was.witness.node == members[0].replica.node;
-        cr_assert(isConcerned || after.slots[slot] == was, "slot %zu moved", slot);
+        const auto wasOnLostNode = was.primary.node == members[0].replica.node
+                                   || was.witness.node == members[0].replica.node;
+        cr_assert(wasOnLostNode || after.slots[slot] == was, "slot %zu moved", slot);
         cr_assert_neq(after.slots[slot].primary.node, members[0].replica.node);
         cr_assert_neq(after.slots[slot].witness.node, members[0].replica.node);
     }
@@ -105,7 +106,7 @@
         cr_assert(n <= 7, "%s is primary of %d", node.c_str(), n);
 }
 
-Test(PlacementPlan, restartedNodeIsNoMemberOfItsFormerSlots)
+Test(PlacementPlan, restartedNodeIsNotAMemberOfItsFormerSlots)
 {
     const auto table = firstTable({member(1, 1), member(2, 1)});
     const auto plan = planPlacement(table, {member(1, 1, 2), member(2, 1)}, now, settings);
@@ -114,7 +115,7 @@
         cr_assert(it.proposer == member(2, 1).replica && it.proposed.source == it.proposer);
 }
 
-Test(PlacementPlan, drainingPrimaryHandsItsSlotsOver)
+Test(PlacementPlan, slotsOfADrainingPrimaryMove)
 {
     const auto members = std::vector{member(1, 1), member(2, 1), member(3, 1)};
     auto table = firstTable(members);
@@ -132,7 +133,7 @@
         cr_assert(it.primary != leaving[0].replica && it.witness != leaving[0].replica);
 }
 
-Test(PlacementPlan, bothLostNeedsAProofThatOneHasEnded)
+Test(PlacementPlan, replacingBothMembersNeedsProofThatOneHasEnded)
 {
     struct Case
     {
@@ -144,7 +145,7 @@
     const Case cases[] = {
             {"both silent", false, false, true},
             {"one restarted", true, false, false},
-            {"an operator vouches for one", false, true, false},
+            {"an operator confirmed that one has ended", false, true, false},
     };
     for (const auto &it : cases) {
         auto members = std::vector{member(1, 1), member(2, 1)};
@@ -165,7 +166,7 @@
     }
 }
 
-Test(PlacementPlan, newNodeGetsAShare)
+Test(PlacementPlan, newNodeGetsAShareOfTheSlots)
 {
     auto table = firstTable({member(1, 1), member(2, 1)});
     const auto members = std::vector{member(1, 1), member(2, 1), member(3, 1)};
--- a/tests/measure/keyed/FleetDay.cpp
+++ b/tests/measure/keyed/FleetDay.cpp
@@ -14,8 +14,8 @@
 
 namespace stairspur::keyed::measure {
 
-// The users' target: 14,000 upstreams of 520 services in 13 failure domains; 3,600 restarts or replacements and 49 failed
-// hosts on an ordinary day.
+// The users' target size: 14,000 upstreams of 520 services in 13 failure domains, with 3,600 restarts or replacements and
+// 49 failed hosts on an ordinary day.
 static constexpr auto domainCount = 13;
 static constexpr auto upstreamsPerDomain = 14'000 / domainCount;
 static constexpr auto serviceCount = 520;
@@ -26,6 +26,7 @@
 
 namespace {
 
+/// The hosts and placement tables of one failure domain.
 class Fleet
 {
 public:
@@ -79,7 +80,7 @@
         return members;
     }
 
-    /// Plans and writes until nothing is left to do. Each proposer writes once for all its slots.
+    /// Plans and applies changes until the plan is empty. Each proposer counts as one write for all its slots.
     auto settle(int service) -> void
     {
         auto &table = m_tables[service];
@@ -101,7 +102,7 @@
         }
     }
 
-    /// All tables that the host is of importance to.
+    /// Settles all tables that name the host, and the table of its service.
     auto settleAround(std::size_t host) -> void
     {
         const auto node = m_members[host].replica.node;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Half of the restarts are announced by a drain; then the host is gone long enough to be taken for dead.
+    /// Restarts a host. Half of the restarts start with a drain. The host is down for long enough to be declared dead.
     auto restart(std::size_t host) -> void
     {
         if (randomBelow(m_random, 2) == 0) {
@@ -129,7 +130,7 @@
         settleAround(host);
     }
 
-    /// The host is gone for good; another one, of another address, comes in its place.
+    /// Replaces a host that doesn't return by a new one with another address.
     auto replace(std::size_t host) -> void
     {
         m_members[host].isAlive = false;
--- a/tests/measure/keyed/main.cpp
+++ b/tests/measure/keyed/main.cpp
@@ -1,5 +1,5 @@
-// What keyed calls cost: memory of a record, messages, bytes and processor time of a call, and the writes to the store
-// of a day at the size that docs/CAPACITY.md is for. Prints a table; takes no arguments.
+// Measures the cost of keyed calls: memory of a record, messages, bytes and processor time of a call, and the writes to the
+// store in a day at the size that docs/CAPACITY.md is for. Prints a table; takes no arguments.
 
 #include <malloc.h>
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Two keepers that hand their messages to each other.
+/// Two keepers that exchange their messages directly.
 class Pair
 {
 public:
@@ -73,7 +73,7 @@
         }
     }
 
-    /// One keyed call from its Submit to its reply.
+    /// Runs keyed call `n` from its Submit to its reply.
     auto call(int n) -> void
     {
         const auto &slots = m_first.table().slots;
@@ -81,7 +81,7 @@
         auto &primary = slots[slot].primary == m_a ? m_first : m_second;
         auto submit = Submit{1, keyOf(n), 7, slots[slot].epoch};
         const auto bytes = encodeMessage({"order-intake", "centre", slot, m_a, m_b, submit});
-        callBytes += 2 * bytes.size(); // In hexadecimal digits, as a header.
+        callBytes += 2 * bytes.size(); // The header encodes each byte as two hexadecimal digits.
         auto effects = KeeperEffects();
         primary.submit(slot, {{}, 1}, submit, at(1000), effects);
         settle(std::move(effects));
