--- a/include/stairspur/keyed/CallerHomes.h
+++ b/include/stairspur/keyed/CallerHomes.h
@@ -8,7 +8,8 @@
 
 namespace stairspur::keyed {
 
-/// Keeps the home failure domain of each caller's keys as the current configuration gives it, and when it last changed.
+/// Keeps the home failure domain of each caller's keys as the current configuration gives it, and when it last
+/// changed.
 class CallerHomes
 {
 public:
@@ -16,12 +17,13 @@
         : m_startedAt(startedAt)
     {}
 
-    /// Replaces the homes and domains by those of `configuration`. Returns whether the set of domains, or the home of a caller
-    /// that the previous configuration has too, differs from the previous configuration.
+    /// Replaces the homes and domains by those of `configuration`. Returns whether the set of domains, or the home of
+    /// a caller that the previous configuration has too, differs from the previous configuration. Returns false for
+    /// the first configuration.
     auto adopt(const config::Configuration &configuration, WallMilliseconds now) -> bool;
 
-    /// Returns whether the home of `caller` has been the same for longer than the lifetime of a key. Returns false until
-    /// this node has run for that long, since it has not recorded earlier changes.
+    /// Returns whether the home of `caller` has been the same for longer than the lifetime of a key and the clock
+    /// margins. Returns false until this node has run for that long, since it has not recorded earlier changes.
     [[nodiscard]] auto isSettled(const std::string &caller, WallMilliseconds now,
                                  const RecordSettings &settings) const -> bool;
 
--- a/include/stairspur/keyed/KeyHome.h
+++ b/include/stairspur/keyed/KeyHome.h
@@ -16,22 +16,22 @@
 auto explicitHomeOf(std::string_view key, const std::vector<std::string> &domains)
         -> std::optional<std::string>;
 
-/// Returns the home failure domain of `key`: its own prefix, else `callerHome` when that is a configured domain, else the
-/// choice of a rendezvous hash over `domains`, so that a new domain takes over only its share of the keys. Throws
+/// Returns the home failure domain of `key`: its own prefix, else `callerHome` when that is a configured domain, else
+/// the choice of a rendezvous hash over `domains`, so that a new domain takes over only its share of the keys. Throws
 /// InputError when `domains` is empty.
 auto homeOf(std::string_view key, std::string_view callerHome,
             const std::vector<std::string> &domains) -> std::string;
 
-/// Returns the name under which a caller's key is recorded. It includes the caller, so that the same key of two callers
-/// has two records.
+/// Returns the name under which a caller's key is recorded. It includes the caller, so that the same key of two
+/// callers has two records.
 auto scopedKey(std::string_view caller, std::string_view key) -> std::string;
 
 /// Returns the slot of a scoped key among the `slots` (at least 1) of its service and home domain.
 auto slotOf(std::string_view service, std::string_view scopedKey, std::uint32_t slots)
         -> std::uint32_t;
 
-/// Returns the time at which a key that ends in a UUID of version 7 (RFC 9562, section 5.7) was minted, in milliseconds
-/// since the Unix epoch; std::nullopt for any other key.
+/// Returns the time at which a key that ends in a UUID of version 7 (RFC 9562, section 5.7) was minted, in
+/// milliseconds since the Unix epoch; std::nullopt for any other key.
 auto mintTimeOf(std::string_view key) -> std::optional<WallMilliseconds>;
 
 } // namespace stairspur::keyed
--- a/include/stairspur/keyed/PeerReachability.h
+++ b/include/stairspur/keyed/PeerReachability.h
@@ -15,9 +15,10 @@
     Duration probeInterval{100'000}; ///< Between two probes of a node that doesn't reply.
 };
 
-/// Tracks which nodes are unreachable over this node's own links, long before membership declares them dead. The remaining
-/// member of a primary and witness pair takes over a slot on this basis. The takeover is safe whether or not the other
-/// member has failed, because the old epoch is sealed first; a false detection costs one write to the store.
+/// Tracks which nodes are unreachable over this node's own links, long before membership declares them dead. The
+/// remaining member of a primary and witness pair takes over a slot on this basis. The takeover is safe whether or
+/// not the other member has failed, because the old epoch is sealed first; a false detection costs one write to the
+/// store.
 class PeerReachability
 {
 public:
@@ -28,13 +29,15 @@
     /// Records that a message to `node` got no reply.
     auto didFail(const NodeId &node, TimePoint now) -> void;
 
-    /// Records that a message of `node` was received, a reply or not. Returns whether `node` was unreachable until then.
+    /// Records that a message of `node` was received, a reply or not. Returns whether `node` was unreachable until
+    /// then.
     auto didReceive(const NodeId &node) -> bool;
 
     /// Returns whether `node` has failed for `unreachableAfter` with nothing received.
     [[nodiscard]] auto isUnreachable(const NodeId &node) const -> bool;
 
-    /// Returns the nodes to probe now and sets their next probe: tracked nodes whose last probe was `probeInterval` ago.
+    /// Returns the nodes to probe now and sets their next probe: tracked nodes whose last probe was at least
+    /// `probeInterval` ago.
     auto takeDueProbes(TimePoint now) -> std::vector<NodeId>;
 
     /// Makes a probe of `node` due, after another node could not reach it.
--- a/include/stairspur/keyed/PlacementKeeper.h
+++ b/include/stairspur/keyed/PlacementKeeper.h
@@ -22,8 +22,8 @@
     Duration batchWindow{
             300'000}; ///< Maximum delay of a change, so that one write can include several changes.
     Duration offerTimeout{500'000}; ///< Time in which new members have to accept the records.
-    Duration storeBackoff{
-            1'000'000}; ///< Maximum delay after one failed store call; doubled by each further one, up to 16 times this.
+    /// Maximum delay after one failed store call. Each further one doubles it, up to 16 times this value.
+    Duration storeBackoff{1'000'000};
     Duration planInterval{
             200'000}; ///< Between two checks of the members while no change is in progress.
     Duration expiryInterval{10'000'000}; ///< Between two removals of expired records.
@@ -87,9 +87,10 @@
     std::vector<PlacementDecision> decisions;
 };
 
-/// Manages the slots of one service in one failure domain on one node: dispatches messages to the slots, and carries out
-/// the changes of placement that this node has to propose. It reads the table, seals the slots that will change, offers
-/// the records to the new members, and writes the table by compare-and-swap only after they have accepted the records.
+/// Manages the slots of one service in one failure domain on one node: dispatches messages to the slots, and carries
+/// out the changes of placement that this node has to propose. It reads the table, seals the slots that will change,
+/// offers the records to the new members, and writes the table by compare-and-swap only after they have accepted the
+/// records.
 template <typename Guards = StandardGuards>
 class PlacementKeeper
 {
@@ -112,8 +113,8 @@
     /// Passes a call or query of an entry to the primary part of `slot`.
     auto submit(std::uint32_t slot, const Waiter &waiter, const Submit &submit, Instant now,
                 KeeperEffects &effects) -> void;
-    /// Replies that the key's home is in another failure domain by the configuration in force on this node. The sender of
-    /// the call has another configuration.
+    /// Replies that the key's home is in another failure domain by the configuration in force on this node. The
+    /// sender of the call has another configuration.
     auto replyMoved(const Waiter &waiter, KeeperEffects &effects) -> void;
     /// Records that `waiter` no longer waits. A binding for it that has not been dispatched is dropped.
     auto cancel(std::uint32_t slot, const Waiter &waiter) -> void;
--- a/include/stairspur/keyed/PlacementKeeperProposals.h
+++ b/include/stairspur/keyed/PlacementKeeperProposals.h
@@ -126,8 +126,8 @@
         });
         if (!m_proposals.empty())
             return startWriting(effects);
-        // The slots stay sealed until a renewal is written, so a new plan is made soon. The members that did not reply are
-        // probed in the meantime, and the new plan leaves them out.
+        // The slots stay sealed until a renewal is written, so a new plan is made soon. The members that did not
+        // reply are probed in the meantime, and the new plan leaves them out.
         m_shouldRefresh = true;
         return finish(now, m_settings.planInterval);
     }
@@ -237,8 +237,8 @@
 {
     m_failures = std::min(m_failures + 1, MaxBackoffShift + 1);
     const auto maxDelay = m_settings.storeBackoff * (1U << (m_failures - 1));
-    // The delay is random between half and the whole of the maximum, so that the nodes of a domain don't retry at the same
-    // time.
+    // The delay is random between half and the whole of the maximum, so that the nodes of a domain don't retry at the
+    // same time.
     const auto half = std::uint64_t(maxDelay.count()) / 2;
     m_shouldRefresh = true;
     finish(now, Duration(half + randomBelow(m_random, half + 1)));
--- a/include/stairspur/keyed/PlacementPlan.h
+++ b/include/stairspur/keyed/PlacementPlan.h
@@ -15,8 +15,8 @@
 {
     Replica replica;
     std::string rack; ///< Nodes of one rack are likely to fail together.
-    /// Whether the node belongs to the service and may be a primary. A node of another service can be a witness when the
-    /// service has too few nodes.
+    /// Whether the node belongs to the service and may be a primary. A node of another service can be a witness when
+    /// the service has too few nodes.
     bool isOfService = true;
     bool isAlive = true;    ///< Neither dead by membership nor unreachable.
     bool isLeaving = false; ///< Draining or left: its slots move to other nodes.
@@ -49,8 +49,9 @@
 struct PlacementPlan
 {
     std::vector<PlacementChange> changes;
-    /// Slots whose members both don't respond, with no proof that either process has ended. Replacing both could run a key
-    /// twice, so these slots wait until a member returns, restarted or not, or an operator confirms that one has ended.
+    /// Slots whose members both don't respond, with no proof that either process has ended. Replacing both could run
+    /// a key twice, so these slots wait until a member returns, restarted or not, or an operator confirms that one
+    /// has ended.
     std::vector<std::uint32_t> blocked;
 };
 
@@ -63,9 +64,9 @@
     std::uint32_t balanceThreshold = 3;
 };
 
-/// Returns the changes that `table` needs for the current `members`: as few moves as possible, an even load, and witnesses
-/// outside their primary's rack where possible. Every node that calls this with the same arguments gets the same plan.
-/// `now` is recorded as the time of a loss.
+/// Returns the changes that `table` needs for the current `members`: as few moves as possible, an even load, and
+/// witnesses outside their primary's rack where possible. Every node that calls this with the same arguments gets the
+/// same plan. `now` is recorded as the time of a loss.
 auto planPlacement(const PlacementTable &table, const std::vector<PlacementMember> &members,
                    WallMilliseconds now, const PlacementSettings &settings) -> PlacementPlan;
 
--- a/source/keyed/CallerHomes.cpp
+++ b/source/keyed/CallerHomes.cpp
@@ -24,8 +24,8 @@
         }
         homes[it.name] = it.homeDomain;
     }
-    // FIXME: When one configuration omits a caller and a later one has it again with another home, the change of home is
-    //        not detected, and keys that the caller used earlier could run again.
+    // FIXME: When one configuration omits a caller and a later one has it again with another home, the change of home
+    //        is not detected, and keys that the caller used earlier could run again.
     m_homes = std::move(homes);
     return hasChanged;
 }
--- a/source/keyed/KeyHome.cpp
+++ b/source/keyed/KeyHome.cpp
@@ -12,7 +12,8 @@
 static constexpr auto UuidLength = std::size_t{36};
 static constexpr auto UuidVersionIndex = std::size_t{14};
 static constexpr auto HexBase = 16;
-/// Separates the caller from the key in a scoped key. The configuration doesn't allow this character in a caller's name.
+/// Separates the caller from the key in a scoped key. The configuration doesn't allow this character in a caller's
+/// name.
 static constexpr auto ScopeSeparator = '\x1f';
 
 auto explicitHomeOf(std::string_view key, const std::vector<std::string> &domains)
--- a/source/keyed/PlacementPlan.cpp
+++ b/source/keyed/PlacementPlan.cpp
@@ -16,7 +16,7 @@
 enum class ReplicaStatus {
     Usable,
     Leaving,      ///< Running, but its slots have to move to other nodes.
-    Unresponsive, ///< Dead by membership or unreachable, without proof that its process has ended.
+    Unresponsive, ///< Dead, unreachable or not a member, without proof that its process has ended.
     Ended, ///< Its process is proven to have ended: the node has a new session, or an operator confirmed it.
 };
 
@@ -64,11 +64,13 @@
     auto replaceBoth(std::uint32_t slot) -> void;
     auto balance() -> void;
     auto moveOnePrimary() -> bool;
+    /// Replaces witnesses of other services by nodes of this service where possible.
     auto moveWitnessesToOwnService() -> void;
     auto propose(std::uint32_t slot, PlacementCause cause, const Replica &primary,
                  const Replica &witness, const Replica &source, const Replica &proposer) -> void;
 
     [[nodiscard]] auto memberOf(const Replica &replica) const -> const PlacementMember *;
+    /// Returns the usable node of the service with the lowest id; nullptr when there is none.
     [[nodiscard]] auto pickProposer() const -> const PlacementMember *;
     [[nodiscard]] auto pickPrimary(std::uint32_t slot, const Replica &excluded) const
             -> const PlacementMember *;
--- a/tests/measure/keyed/FleetDay.cpp
+++ b/tests/measure/keyed/FleetDay.cpp
@@ -14,8 +14,8 @@
 
 namespace stairspur::keyed::measure {
 
-// The users' target size: 14,000 upstreams of 520 services in 13 failure domains, with 3,600 restarts or replacements and
-// 49 failed hosts on an ordinary day.
+// The users' target size: 14,000 upstreams of 520 services in 13 failure domains, with 3,600 restarts or replacements
+// and 49 failed hosts on an ordinary day.
 static constexpr auto domainCount = 13;
 static constexpr auto upstreamsPerDomain = 14'000 / domainCount;
 static constexpr auto serviceCount = 520;
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Restarts a host. Half of the restarts start with a drain. The host is down for long enough to be declared dead.
+    /// Restarts a host. Half of the restarts start with a drain. The host is down for long enough to be declared
+    /// dead.
     auto restart(std::size_t host) -> void
     {
         if (randomBelow(m_random, 2) == 0) {
--- a/tests/measure/keyed/main.cpp
+++ b/tests/measure/keyed/main.cpp
@@ -1,5 +1,5 @@
-// Measures the cost of keyed calls: memory of a record, messages, bytes and processor time of a call, and the writes to the
-// store in a day at the size that docs/CAPACITY.md is for. Prints a table; takes no arguments.
+// Measures the cost of keyed calls: memory of a record, messages, bytes and processor time of a call, and the writes
+// to the store in a day at the size that docs/CAPACITY.md is for. Prints a table; takes no arguments.
 
 #include <malloc.h>
 
