--- a/include/stairspur/keyed/KeyedService.h
+++ b/include/stairspur/keyed/KeyedService.h
@@ -16,7 +16,7 @@
 #include <stairspur/config/Configuration.h>
 #include <stairspur/core/Error.h>
 #include <stairspur/core/Random.h>
-#include <stairspur/keyed/HomeChanges.h>
+#include <stairspur/keyed/CallerHomes.h>
 #include <stairspur/keyed/PeerReachability.h>
 #include <stairspur/keyed/PlacementKeeper.h>
 #include <stairspur/membership/Member.h>
@@ -176,7 +176,7 @@
     /// Members by service, computed from the view on first use.
     std::map<std::string, std::vector<PlacementMember>> m_members;
     config::ConfigurationPtr m_configuration;
-    HomeChanges m_homes;
+    CallerHomes m_homes;
     std::set<NodeId> m_confirmedGone;
     PeerReachability m_reachability;
     /// Messages to the sender of the current control request, which are sent in its reply; null outside of a request.
--- a/include/stairspur/keyed/KeyedServiceCode.h
+++ b/include/stairspur/keyed/KeyedServiceCode.h
@@ -249,7 +249,7 @@
                         && homeOf(key, m_homes.homeOfCaller(caller), domains) == m_settings.domain
                         && received->key == scopedKey(caller, key);
     if (!isHome) {
-        keeper.sayHomeIsElsewhere(waiter, effects);
+        keeper.replyMoved(waiter, effects);
         return applyEffects(message.service, std::move(effects));
     }
     auto submit = *received;
--- a/include/stairspur/keyed/KeyedServiceEffects.h
+++ b/include/stairspur/keyed/KeyedServiceEffects.h
@@ -155,7 +155,7 @@
                 read.table = decodePlacementTable(pair.value);
             }
         } catch (const InputError &e) {
-            read.isDone = false;
+            read.hasSucceeded = false;
             log::Line(log::Severity::Error, "placement-table-damaged").add("error", e.what());
         }
         auto effects = KeeperEffects();
@@ -217,7 +217,7 @@
 template <PlacementStore Store, KeyedPeers Peers>
 auto KeyedService<Store, Peers>::didReceiveFrom(const NodeId &node) -> void
 {
-    if (m_reachability.didHear(node))
+    if (m_reachability.didReceive(node))
         m_members.clear();
 }
 
@@ -238,7 +238,7 @@
     const auto &slots = keeperOf(lookup.service).table().slots;
     if (lookup.slot >= slots.size() || slots[lookup.slot].witness != m_settings.own)
         return;
-    m_reachability.suspect(slots[lookup.slot].primary.node, monotonicNow());
+    m_reachability.requestProbe(slots[lookup.slot].primary.node, monotonicNow());
 }
 
 /// Requests the table of each node that did not answer. Every node answers that request, which shows that it is alive.
--- a/source/keyed/HomeChanges.cpp
+++ b/source/keyed/CallerHomes.cpp
@@ -1,10 +1,10 @@
-#include <stairspur/keyed/HomeChanges.h>
+#include <stairspur/keyed/CallerHomes.h>
 
 #include <algorithm>
 
 namespace stairspur::keyed {
 
-auto HomeChanges::adopt(const config::Configuration &configuration, WallMilliseconds now) -> bool
+auto CallerHomes::adopt(const config::Configuration &configuration, WallMilliseconds now) -> bool
 {
     auto domains = std::vector<std::string>();
     for (const auto &it : configuration.domains)
@@ -17,20 +17,20 @@
 
     auto homes = std::map<std::string, std::string>();
     for (const auto &it : configuration.callers) {
-        const auto known = m_homes.find(it.name);
-        if (known != m_homes.end() && known->second != it.homeDomain) {
+        const auto former = m_homes.find(it.name);
+        if (former != m_homes.end() && former->second != it.homeDomain) {
             m_changedAt[it.name] = now;
             hasChanged = true;
         }
         homes[it.name] = it.homeDomain;
     }
-    // FIXME: A caller that is left out of one configuration and comes back with another home in a later one is not
-    // noticed; its keys of the time before could run again.
+    // FIXME: When one configuration omits a caller and a later one has it again with another home, the change of home
+    //        is not detected, and keys that the caller used earlier could run again.
     m_homes = std::move(homes);
     return hasChanged;
 }
 
-auto HomeChanges::isSettled(const std::string &caller, WallMilliseconds now,
+auto CallerHomes::isSettled(const std::string &caller, WallMilliseconds now,
                             const RecordSettings &settings) const -> bool
 {
     const auto window = settings.keyLifetime + 2 * settings.clockMargin;
@@ -39,7 +39,7 @@
     return now > std::max(m_startedAt, changedAt) + window;
 }
 
-auto HomeChanges::homeOfCaller(const std::string &caller) const -> std::string
+auto CallerHomes::homeOfCaller(const std::string &caller) const -> std::string
 {
     const auto it = m_homes.find(caller);
     return it == m_homes.end() ? std::string() : it->second;
--- a/tests/keyed/VirtualClusterNodes.h
+++ b/tests/keyed/VirtualClusterNodes.h
@@ -159,7 +159,7 @@
     auto effects = KeeperEffects();
     const auto *submit = std::get_if<Submit>(&message.body);
     if (submit && homeOf(submit->key, node.callerHome, domains()) != node.domain)
-        node.keeper->sayHomeIsElsewhere({message.from.node, submit->waiter}, effects);
+        node.keeper->replyMoved({message.from.node, submit->waiter}, effects);
     else
         node.keeper->didReceive(message, instant(node), effects);
     applyEffects(to, std::move(effects));
