--- a/include/stairspur/core/Cbor.h
+++ b/include/stairspur/core/Cbor.h
@@ -7,13 +7,13 @@
 
 #include <nlohmann/json.hpp>
 
-/// CBOR (RFC 8949) for what the system's own processes tell each other.
+/// CBOR (RFC 8949), the encoding of messages between processes of stairspur.
 namespace stairspur {
 
-/// `value` as CBOR bytes.
+/// Returns `value` encoded as CBOR.
 auto toCbor(const nlohmann::json &value) -> std::string;
 
-/// Reads one CBOR item that fills `bytes`. Throws InputError on anything else.
+/// Decodes `bytes`, which must be exactly one CBOR item. Throws InputError otherwise.
 auto fromCbor(std::string_view bytes) -> nlohmann::json;
 
 } // namespace stairspur
--- a/include/stairspur/core/EnumNames.h
+++ b/include/stairspur/core/EnumNames.h
@@ -8,7 +8,7 @@
 
 namespace stairspur {
 
-/// The table of names of an enumeration, in the order of its values from 0 on.
+/// Names of an enumeration's values, in the order of the values, which are consecutive from 0.
 /// Specialise `enumNames<E>` next to the enumeration, as a `constexpr std::array` of string views.
 template <typename Enum>
 inline constexpr auto enumNames = nullptr;
@@ -16,7 +16,7 @@
 template <typename Enum>
 concept NamedEnum = requires { enumNames<Enum>.size(); };
 
-/// The name of a value, as logs, metrics and headers show it.
+/// Returns the name of `value` as logs, metrics and headers show it, or "invalid" for a value without a name.
 template <NamedEnum Enum>
 constexpr auto nameOf(Enum value) -> std::string_view
 {
@@ -24,7 +24,7 @@
     return index < enumNames<Enum>.size() ? enumNames<Enum>[index] : std::string_view("invalid");
 }
 
-/// The value that bears `name`, or nothing.
+/// Returns the value with this name, or nullopt.
 template <NamedEnum Enum>
 constexpr auto fromName(std::string_view name) -> std::optional<Enum>
 {
--- a/include/stairspur/core/Error.h
+++ b/include/stairspur/core/Error.h
@@ -5,8 +5,8 @@
 
 namespace stairspur {
 
-/// The root of every error that stairspur throws on bad input or a failing environment. The message says what is wrong
-/// and ends with its remedy.
+/// Base class of all errors that stairspur throws on invalid input or a failing environment. The message describes the
+/// problem and ends with its remedy.
 class Error : public std::runtime_error
 {
 public:
@@ -15,7 +15,7 @@
     {}
 };
 
-/// Input from outside that cannot be read.
+/// Input from outside the process that cannot be parsed.
 class InputError : public Error
 {
 public:
--- a/include/stairspur/core/Hex.h
+++ b/include/stairspur/core/Hex.h
@@ -6,10 +6,10 @@
 
 namespace stairspur {
 
-/// The bytes of `bytes` as lower-case hexadecimal digits.
+/// Returns `bytes` as lower-case hexadecimal digits, two for each byte.
 auto toHex(std::string_view bytes) -> std::string;
 
-/// `value` as 16 lower-case hexadecimal digits.
+/// Returns `value` as 16 lower-case hexadecimal digits.
 auto toHex(std::uint64_t value) -> std::string;
 
 } // namespace stairspur
--- a/include/stairspur/core/Identifiers.h
+++ b/include/stairspur/core/Identifiers.h
@@ -6,7 +6,7 @@
 
 namespace stairspur {
 
-/// The trace id of a root request (W3C Trace Context, `traceparent`), shared by every call of its graph.
+/// Trace id of a root request (W3C Trace Context, `traceparent`), shared by all calls of its call graph.
 struct RootId
 {
     std::uint64_t high = 0;
@@ -14,25 +14,26 @@
 
     auto operator<=>(const RootId &) const = default;
 
-    /// The 32 lower-case hexadecimal digits of the `traceparent` header.
+    /// Returns the 32 lower-case hexadecimal digits of the `traceparent` header.
     [[nodiscard]] auto toString() const -> std::string;
 
-    /// A hash of the id, spread evenly: the same on every host.
+    /// Returns a uniformly distributed hash of the id, the same on every host.
     [[nodiscard]] auto hash() const -> std::uint64_t;
 };
 
-/// Reads 32 hexadecimal digits. Throws InputError when `text` is anything else, or all zeroes (which W3C forbids).
+/// Parses 32 hexadecimal digits. Throws InputError when `text` is anything else, or all zeroes, which W3C Trace Context
+/// forbids.
 auto parseRootId(const std::string &text) -> RootId;
 
-/// One attempt at one call, unique in the process that made it and in the link that carries it.
+/// Identifies one attempt at one call. It is unique in the process that made it and in the link that carries it.
 using CallId = std::uint64_t;
 
-/// A node, by the address at which other nodes reach it ("192.0.2.7:7100", both TCP and UDP). A node that restarts
-/// keeps its id and has a greater incarnation.
+/// Identifies a node by the address at which other nodes reach it ("192.0.2.7:7100", for both TCP and UDP). A node that
+/// restarts keeps its id and gets a greater incarnation.
 using NodeId = std::string;
 
-/// Grows with each start of a node and with each refutation of a suspicion (SWIM, Das et al., DSN 2002). Starts at the
-/// wall clock's milliseconds, so that a restarted node needs to remember nothing.
+/// Incarnation number of a node (SWIM, Das et al., DSN 2002). It increases with each start and with each refutation of
+/// a suspicion. It starts at the wall clock's time in milliseconds, so that a node needs no stored state to restart.
 using Incarnation = std::uint64_t;
 
 } // namespace stairspur
--- a/include/stairspur/core/Level.h
+++ b/include/stairspur/core/Level.h
@@ -5,23 +5,23 @@
 
 namespace stairspur {
 
-/// Ranks of priority classes: 0 is the most important class of the configuration.
+/// Rank of a priority class. 0 is the most important class of the configuration.
 using ClassRank = std::uint8_t;
 
 inline constexpr ClassRank MaxClassRank = 31;
 inline constexpr std::uint32_t HashesPerClass = 128;
 
-/// How important a call is. A greater level is served first and refused last.
+/// Importance of a call. A call with a greater level is served first and refused last.
 ///
-/// The class decides; inside a class a hash of the root request's id decides, so that every service of a call graph
-/// sheds the same requests and no work done upstream of a refusal is wasted (known from DAGOR, Zhou et al., SoCC 2018).
+/// Calls are ordered by class, and within a class by a hash of the root request's id, so that every service of a call
+/// graph sheds the same requests and no work done upstream of a refusal is wasted (DAGOR, Zhou et al., SoCC 2018).
 struct Level
 {
     std::uint16_t value = 0;
 
     auto operator<=>(const Level &) const = default;
 
-    /// The class that a level belongs to.
+    /// Returns the rank of the class that the level belongs to.
     [[nodiscard]] constexpr auto rank() const -> ClassRank
     {
         return static_cast<ClassRank>(MaxClassRank - value / HashesPerClass);
@@ -31,26 +31,26 @@
 /// The floor that admits every call.
 inline constexpr auto LowestLevel = Level{0};
 
-/// One above the greatest level of any call: the floor that admits none.
+/// The floor that admits no call: one above the greatest level of any call.
 inline constexpr auto ClosedLevel = Level{(MaxClassRank + 1) * HashesPerClass};
 
-/// The level of a call of class `rank` whose root id hashes to `hash` (taken modulo 128).
+/// Returns the level of a call of class `rank` whose root id has this hash (taken modulo HashesPerClass, 128).
 constexpr auto makeLevel(ClassRank rank, std::uint64_t hash) -> Level
 {
     return Level{static_cast<std::uint16_t>((MaxClassRank - rank) * HashesPerClass
                                             + hash % HashesPerClass)};
 }
 
-/// Names a way through the call graph: calls of one path go on to the same deeper services.
+/// Identifies a path through the call graph. Calls of one path call the same deeper services.
 using PathKey = std::uint32_t;
 
-/// Calls whose path is not told apart from others of their class.
+/// Key of calls that aren't distinguished by path from others of their class.
 inline constexpr PathKey NoPath = 0;
 
-/// Which floor holds for a call: that of its class, and that of its path where one is known.
+/// Selects the floor of a call: the floor of its class, and that of its path where one is recorded.
 struct FloorKey
 {
-    // Implicit, since a class alone names a floor wherever paths are not told apart.
+    // The conversion is implicit, since a class alone selects a floor wherever paths aren't distinguished.
     constexpr FloorKey(ClassRank ofRank,
                        PathKey ofPath = NoPath) // NOLINT(google-explicit-constructor)
         : rank(ofRank)
@@ -63,7 +63,7 @@
     auto operator==(const FloorKey &) const -> bool = default;
 };
 
-/// The floor that the calls of one path meet below a gate.
+/// Floor that applies to the calls of one path downstream of a gate.
 struct PathFloor
 {
     PathKey path = NoPath;
@@ -72,7 +72,7 @@
     auto operator==(const PathFloor &) const -> bool = default;
 };
 
-/// The floor of `path` in a list; the lowest one when the list does not name it.
+/// Returns the floor of `path` in `floors`, or LowestLevel when the list doesn't contain the path.
 template <typename List>
 constexpr auto floorOfPath(const List &floors, PathKey path) -> Level
 {
@@ -85,7 +85,7 @@
     return LowestLevel;
 }
 
-/// Raises the floor of a path in a list, which names each path once.
+/// Raises the floor of a path in `floors`, which contains each path at most once. Adds the path when it is missing.
 template <typename List>
 constexpr auto raiseFloorOfPath(List &floors, PathFloor raised) -> void
 {
--- a/include/stairspur/core/Outcome.h
+++ b/include/stairspur/core/Outcome.h
@@ -5,19 +5,19 @@
 
 namespace stairspur {
 
-/// What became of a call, as the `Stairspur-Outcome` header tells the caller.
+/// Outcome of a call, as the `Stairspur-Outcome` header reports it to the caller.
 enum class Outcome {
-    Answered, ///< A backend server's whole answer is in this response.
-    NotRun,   ///< No attempt reached a backend server, nor can one later.
-    Failed,   ///< An attempt ran and is known to have failed.
-    Unknown,  ///< An attempt may have run; nobody can say.
+    Answered, ///< This response contains the complete response of a backend server.
+    NotRun,   ///< No attempt reached a backend server, and none can reach one later.
+    Failed,   ///< An attempt ran, and its failure is certain.
+    Unknown,  ///< An attempt may have run, and its result can't be determined.
 };
 
 template <>
 inline constexpr auto enumNames<Outcome> =
         std::array<std::string_view, 4>{"answered", "not-run", "failed", "unknown"};
 
-/// Why a call was refused, or ended without an answer. One word for logs, metrics and the problem body.
+/// Reason why a call was refused or ended without a response, for logs, metrics and the problem body.
 enum class Reason {
     None,
     BadRequest,
@@ -47,10 +47,10 @@
     TooLarge,
     TooManyConnections,
     DamagedAnswer,
-    DeeperCallFailed,   ///< It ran and failed after one of its own calls had failed for good.
-    Quarantined,        ///< Backend servers end under this very request.
-    QuotaExceeded,      ///< The caller sends more than it may, over all hosts together.
-    StaleConfiguration, ///< This host cannot tell whether the caller's key still holds.
+    DeeperCallFailed, ///< The call ran and failed after one of its own calls had failed permanently.
+    Quarantined,      ///< Backend servers crash under load of this request.
+    QuotaExceeded,    ///< The caller exceeds its quota, counted over all hosts.
+    StaleConfiguration, ///< This host can't determine whether the caller's key is still valid.
 };
 
 template <>
--- a/include/stairspur/core/Time.h
+++ b/include/stairspur/core/Time.h
@@ -5,15 +5,15 @@
 
 #include <time.h>
 
-/// Time as every decision sees it: handed in, never read from a clock.
+/// Time types. Decisions receive the current time as an argument and never read a clock themselves.
 namespace stairspur {
 
-/// A span of time, in microseconds.
+/// Duration in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// The clock of the host since it booted, the time for which it was suspended included (CLOCK_BOOTTIME). The steady clock stands
-/// still meanwhile: by it a deadline, a lease, or the age of what others told would be younger than it is by the whole
-/// suspension, and a host that wakes would pass on time that its caller no longer has.
+/// Monotonic clock of the host since boot that includes time in suspension (CLOCK_BOOTTIME). std::chrono::steady_clock
+/// stops during suspension. With it, the age of a deadline, a lease or received data would be too small by the length
+/// of the suspension, and a resumed host would forward a time budget that its caller no longer has.
 struct HostClock
 {
     using duration = std::chrono::nanoseconds;
@@ -30,16 +30,16 @@
     }
 };
 
-/// A point on the host's clock. Never comparable between two hosts.
+/// Point in time on the host's clock. Time points of two hosts can't be compared.
 using TimePoint = std::chrono::time_point<HostClock, Duration>;
 
-/// The clock of a running process.
+/// Returns the current time on the host's clock.
 inline auto monotonicNow() -> TimePoint
 {
     return std::chrono::time_point_cast<Duration>(HostClock::now());
 }
 
-/// `d` in whole milliseconds, as headers and logs carry it.
+/// Returns `d` in whole milliseconds, rounded towards zero, for headers and logs.
 constexpr auto toMilliseconds(Duration d) -> long long
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(d).count();
--- a/source/core/Cbor.cpp
+++ b/source/core/Cbor.cpp
@@ -14,36 +14,37 @@
     return bytes;
 }
 
-[[noreturn]] static auto failToRead() -> void
+[[noreturn]] static auto throwMalformed() -> void
 {
-    throw InputError("the bytes are not one whole CBOR item, or it nests too deeply",
+    throw InputError("the bytes are not exactly one complete CBOR item, or its nesting is too deep",
                      "check that both ends run the same protocol version of stairspur");
 }
 
-/// Walks over the heads of all items, without recursion, and throws InputError unless they end where the bytes end, nest
-/// at most MaxDepth deep and have definite lengths that the bytes can hold. The library's reader calls itself for each
-/// level, indefinite strings included, so that a long run of opening bytes would end the process; and it throws errors
-/// of its own for impossible lengths. Our own writer uses neither tags nor indefinite lengths (RFC 8949, section 3.2).
-class ShapeCheck
+/// Validates the structure of a CBOR item without recursion. Throws InputError unless the item ends where the bytes
+/// end, is nested at most MaxDepth deep and has definite lengths that fit the bytes. nlohmann::json's parser recurses
+/// for each nesting level, indefinite strings included, so that a long run of opening bytes would crash the process;
+/// it also throws its own exceptions for impossible lengths. toCbor() writes neither tags nor indefinite lengths (RFC
+/// 8949, section 3.2).
+class StructureValidator
 {
 public:
-    explicit ShapeCheck(std::string_view bytes)
-        : m_rest(bytes)
+    explicit StructureValidator(std::string_view bytes)
+        : m_remaining(bytes)
     {}
 
-    auto run() -> void
+    auto validate() -> void
     {
-        m_open.push_back(1);
-        while (!m_open.empty()) {
-            if (m_open.back() == 0) {
-                m_open.pop_back();
+        m_openCounts.push_back(1);
+        while (!m_openCounts.empty()) {
+            if (m_openCounts.back() == 0) {
+                m_openCounts.pop_back();
                 continue;
             }
-            --m_open.back();
-            passItem();
+            --m_openCounts.back();
+            skipItem();
         }
-        if (!m_rest.empty())
-            failToRead();
+        if (!m_remaining.empty())
+            throwMalformed();
     }
 
 private:
@@ -56,67 +57,69 @@
     };
     static constexpr auto MaxDepth = std::size_t{32};
 
-    auto passItem() -> void
+    auto skipItem() -> void
     {
-        const auto head = takeByte();
+        const auto head = readByte();
         const auto major = head >> 5U;
-        const auto argument = takeArgument(head & 0x1fU);
+        const auto argument = readArgument(head & 0x1fU);
         if (major == Tag)
-            failToRead();
+            throwMalformed();
         if (major == Bytes || major == Text)
-            pass(argument);
+            skipBytes(argument);
         if (major == Array || major == Map)
-            open(argument, major == Map ? 2 : 1);
+            openContainer(argument, major == Map ? 2 : 1);
     }
 
-    /// Each item takes a byte at least, so that more items than bytes are impossible.
-    auto open(std::uint64_t count, std::uint64_t itemsEach) -> void
+    /// Opens an array or map. Each item takes at least one byte, so a count greater than the remaining bytes is
+    /// invalid.
+    auto openContainer(std::uint64_t count, std::uint64_t itemsEach) -> void
     {
-        if (m_open.size() > MaxDepth || count > m_rest.size())
-            failToRead();
-        m_open.push_back(count * itemsEach);
+        if (m_openCounts.size() > MaxDepth || count > m_remaining.size())
+            throwMalformed();
+        m_openCounts.push_back(count * itemsEach);
     }
 
-    auto takeArgument(std::uint32_t information) -> std::uint64_t
+    auto readArgument(std::uint32_t information) -> std::uint64_t
     {
         static constexpr auto FirstWide = 24U;
         static constexpr auto LastWide = 27U;
         if (information < FirstWide)
             return information;
         if (information > LastWide)
-            failToRead();
+            throwMalformed();
         auto value = std::uint64_t{0};
         for (auto n = 1U << (information - FirstWide); n > 0; --n)
-            value = (value << 8U) | takeByte();
+            value = (value << 8U) | readByte();
         return value;
     }
 
-    auto takeByte() -> std::uint8_t
+    auto readByte() -> std::uint8_t
     {
-        if (m_rest.empty())
-            failToRead();
-        const auto byte = static_cast<std::uint8_t>(m_rest.front());
-        m_rest.remove_prefix(1);
+        if (m_remaining.empty())
+            throwMalformed();
+        const auto byte = static_cast<std::uint8_t>(m_remaining.front());
+        m_remaining.remove_prefix(1);
         return byte;
     }
 
-    auto pass(std::uint64_t count) -> void
+    auto skipBytes(std::uint64_t count) -> void
     {
-        if (count > m_rest.size())
-            failToRead();
-        m_rest.remove_prefix(count);
+        if (count > m_remaining.size())
+            throwMalformed();
+        m_remaining.remove_prefix(count);
     }
 
-    std::string_view m_rest;
-    std::vector<std::uint64_t> m_open; ///< Items still to come, of each item that is open.
+    std::string_view m_remaining;
+    /// Number of items not yet read in each open array or map.
+    std::vector<std::uint64_t> m_openCounts;
 };
 
 auto fromCbor(std::string_view bytes) -> nlohmann::json
 {
-    ShapeCheck(bytes).run();
+    StructureValidator(bytes).validate();
     auto value = nlohmann::json::from_cbor(bytes, true, false);
     if (value.is_discarded())
-        failToRead();
+        throwMalformed();
     return value;
 }
 
--- a/source/core/Hash.cpp
+++ b/source/core/Hash.cpp
@@ -16,8 +16,8 @@
     return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-/// Looking an algorithm up by name costs more than hashing a key does, so that it is done once (OpenSSL 3,
-/// EVP_MD_fetch). It lives as long as the process.
+/// Returns the SHA-256 algorithm, or null when OpenSSL lacks it. EVP_MD_fetch (OpenSSL 3) takes longer than hashing a
+/// key, so the algorithm is fetched once and never freed.
 static auto sha256() -> const EVP_MD *
 {
     static const auto *const algorithm = EVP_MD_fetch(nullptr, "SHA256", nullptr);
@@ -31,7 +31,7 @@
     const auto *const algorithm = sha256();
     if (algorithm == nullptr
         || EVP_Digest(text.data(), text.size(), digest.data(), &n, algorithm, nullptr) != 1)
-        throw Error("SHA-256 is not available", "install an OpenSSL that offers it");
+        throw Error("SHA-256 is not available", "install an OpenSSL version that provides it");
     return toHex(std::string_view(reinterpret_cast<const char *>(digest.data()), n));
 }
 
--- a/source/core/Identifiers.cpp
+++ b/source/core/Identifiers.cpp
@@ -27,7 +27,7 @@
     const auto *end = digits.data() + digits.size();
     const auto [stop, ec] = std::from_chars(digits.data(), end, value, HexBase);
     if (ec != std::errc() || stop != end)
-        throw InputError("the trace id has a character that is no hexadecimal digit",
+        throw InputError("the trace id contains a character that is not a hexadecimal digit",
                          "send 32 lower-case hexadecimal digits (W3C Trace Context)");
     return value;
 }
@@ -35,14 +35,14 @@
 auto parseRootId(const std::string &text) -> RootId
 {
     if (text.size() != 2 * DigitsPerWord)
-        throw InputError("the trace id has not 32 digits",
-                         "send a traceparent header as W3C Trace Context says");
+        throw InputError("the trace id does not have 32 digits",
+                         "send a traceparent header as W3C Trace Context specifies");
     const auto view = std::string_view(text);
     const auto id =
             RootId{parseWord(view.substr(0, DigitsPerWord)), parseWord(view.substr(DigitsPerWord))};
     if (id == RootId{})
         throw InputError("the trace id is all zeroes",
-                         "send a traceparent header as W3C Trace Context says");
+                         "send a traceparent header as W3C Trace Context specifies");
     return id;
 }
 
--- a/tests/core/TestCbor.cpp
+++ b/tests/core/TestCbor.cpp
@@ -7,7 +7,7 @@
 
 using namespace stairspur;
 
-Test(Cbor, readsWhatItWrote)
+Test(Cbor, decodesEncodedValue)
 {
     const auto value = nlohmann::json{{"a", {1, -2, 3.5, true, nullptr}},
                                       {"b", nlohmann::json::binary({1, 2})},
@@ -15,7 +15,7 @@
     cr_assert(fromCbor(toCbor(value)) == value);
 }
 
-Test(Cbor, hostileBytesAreAnInputErrorAndNothingElse)
+Test(Cbor, malformedBytesThrowOnlyInputError)
 {
     static constexpr auto Deep = std::size_t{1'000'000};
     struct
@@ -24,28 +24,28 @@
         std::string bytes;
     } cases[] = {
             {"nothing", ""},
-            {"text that ends early", "\x65"
-                                     "ab"},
+            {"truncated text", "\x65"
+                               "ab"},
             {"two items", "\x01\x02"},
-            {"arrays in arrays", std::string(Deep, '\x81')},
-            {"maps in maps", std::string(Deep, '\xa1')},
-            {"tags in tags", std::string(Deep, '\xc1')},
-            {"arrays without end", std::string(Deep, '\x9f')},
-            {"texts without end", std::string(Deep, '\x7f')},
-            {"byte strings without end", std::string(Deep, '\x5f')},
+            {"nested arrays", std::string(Deep, '\x81')},
+            {"nested maps", std::string(Deep, '\xa1')},
+            {"nested tags", std::string(Deep, '\xc1')},
+            {"nested indefinite arrays", std::string(Deep, '\x9f')},
+            {"nested indefinite texts", std::string(Deep, '\x7f')},
+            {"nested indefinite byte strings", std::string(Deep, '\x5f')},
             {"an array of 2^63 items", "\x9b\x80" + std::string(7, '\0')},
             {"a map of 2^63 pairs", "\xbb\x80" + std::string(7, '\0')},
             {"a text of 2^63 bytes", "\x7b\x80" + std::string(7, '\0')},
-            {"bytes of 2^64-1", "\x5b" + std::string(8, '\xff')},
+            {"a byte string of 2^64-1 bytes", "\x5b" + std::string(8, '\xff')},
             {"a map whose key is a number", "\xa1\x01\x01"},
     };
     for (const auto &it : cases) {
-        auto isRefused = false;
+        auto isRejected = false;
         try {
             fromCbor(it.bytes);
         } catch (const InputError &) {
-            isRefused = true;
+            isRejected = true;
         }
-        cr_expect(isRefused, "%s", it.name);
+        cr_expect(isRejected, "%s", it.name);
     }
 }
--- a/tests/core/TestIdentifiers.cpp
+++ b/tests/core/TestIdentifiers.cpp
@@ -7,7 +7,7 @@
 
 using namespace stairspur;
 
-Test(Identifiers, rootIdSurvivesItsText)
+Test(Identifiers, rootIdRoundTripsThroughText)
 {
     const auto *text = "4bf92f3577b34da6a3ce929d0e0e4736";
     const auto id = parseRootId(text);
@@ -15,7 +15,7 @@
     cr_assert_eq(id.hash(), parseRootId(text).hash());
 }
 
-Test(Identifiers, malformedRootIdsAreRefused)
+Test(Identifiers, malformedRootIdsAreRejected)
 {
     const char *cases[] = {"", "4bf9", "00000000000000000000000000000000",
                            "4bf92f3577b34da6a3ce929d0e0e473z", "4bf92f3577b34da6a3ce929d0e0e47360"};
@@ -23,7 +23,7 @@
         cr_assert_throw(parseRootId(it), InputError, "accepted '%s'", it);
 }
 
-Test(Level, classDecidesBeforeHash)
+Test(Level, classTakesPrecedenceOverHash)
 {
     cr_assert(makeLevel(0, 0) > makeLevel(1, 127));
     cr_assert(makeLevel(1, 1) > makeLevel(1, 0));
@@ -31,7 +31,7 @@
     cr_assert_eq(makeLevel(3, 5).rank(), 3);
 }
 
-Test(EnumNames, everyOutcomeAndReasonHasItsName)
+Test(EnumNames, valuesConvertToAndFromNames)
 {
     cr_assert_eq(nameOf(Outcome::NotRun), "not-run");
     cr_assert_eq(nameOf(Reason::DamagedAnswer), "damaged-answer");
--- a/tests/core/TestTime.cpp
+++ b/tests/core/TestTime.cpp
@@ -6,8 +6,8 @@
 
 using namespace stairspur;
 
-/// What the kernel counts since the host booted, suspensions included.
-static auto sinceBoot() -> HostClock::time_point
+/// Returns the kernel's time since boot, including suspension.
+static auto timeSinceBoot() -> HostClock::time_point
 {
     auto time = timespec();
     clock_gettime(CLOCK_BOOTTIME, &time);
@@ -15,10 +15,10 @@
                                  + std::chrono::nanoseconds(time.tv_nsec));
 }
 
-Test(HostClock, countsTheTimeForWhichTheHostWasSuspended)
+Test(HostClock, includesTimeInSuspension)
 {
-    const auto before = sinceBoot();
+    const auto before = timeSinceBoot();
     const auto now = HostClock::now();
     cr_assert(before <= now);
-    cr_assert(now <= sinceBoot());
+    cr_assert(now <= timeSinceBoot());
 }
