--- a/include/stairspur/log/Log.h
+++ b/include/stairspur/log/Log.h
@@ -8,7 +8,7 @@
 #include <stairspur/core/EnumNames.h>
 #include <stairspur/core/Time.h>
 
-/// Logs: one line of key=value pairs for each event, written by a thread of its own.
+/// Structured log: one line of key=value pairs for each event, written by a dedicated thread.
 namespace stairspur::log {
 
 enum class Severity {
@@ -26,21 +26,22 @@
 
 namespace stairspur::log {
 
-/// Where the lines go and which are kept.
+/// Settings of the log: which lines are written, and the node that they name.
 struct LogSettings
 {
     Severity minimum = Severity::Info;
-    std::string node;                 ///< Put into every line as `node=`; left out when empty.
-    std::uint32_t decisionSample = 1; ///< One decision line in this many is written; 1 writes all.
+    std::string node; ///< Appended to every line as `node=`; omitted when empty.
+    std::uint32_t decisionSample =
+            1; ///< One of this many decision lines is written; 0 and 1 write all.
 };
 
-/// Starts the writer, which writes to standard output. Call once, before the first line.
+/// Starts the writer thread, which writes to standard output. Must be called once, before the first line.
 auto start(const LogSettings &settings) -> void;
 
-/// Writes what is waiting and stops the writer.
+/// Writes all pending lines and stops the writer thread.
 auto stop() -> void;
 
-/// Starts the writer and stops it at the end of its scope, however that is left.
+/// Scope guard that starts the writer thread in its constructor and stops it in its destructor.
 class Session
 {
 public:
@@ -52,18 +53,18 @@
     auto operator=(Session &&) -> Session & = delete;
 };
 
-/// Whether a line of this severity would be written: ask before building a costly one.
+/// Returns whether lines of this severity are written. Check it before building an expensive line.
 auto isEnabled(Severity severity) -> bool;
 
-/// Whether the next decision line falls into the sample.
+/// Returns whether the next decision line belongs to the sample. Each call counts one decision.
 auto isDecisionSampled() -> bool;
 
-/// One event. Its line is handed to the writer when it goes out of scope.
+/// Line of one event. The destructor queues it for the writer thread.
 ///
 ///     log::Line(Severity::Info, "route").add("service", name).add("reason", nameOf(reason));
 ///
-/// Values are quoted where they hold a space, a quote, '=', a backslash or anything that is no printable ASCII, and
-/// escaped there (`\"`, `\\`, `\x0a`), so that a caller's input cannot forge a line or a pair.
+/// Values that are empty or contain a space, a quote, '=', a backslash or anything but printable ASCII are quoted and
+/// escaped (`\"`, `\\`, `\x0a`), so that a caller's input can't forge a line or a pair.
 class Line
 {
 public:
@@ -98,7 +99,7 @@
         return add(key, nameOf(value));
     }
 
-    /// Microseconds, under a key that should end in `_us`.
+    /// Adds a duration in microseconds. The key should end in `_us`.
     auto add(std::string_view key, Duration value) -> Line & { return add(key, value.count()); }
 
 private:
--- a/source/log/Log.cpp
+++ b/source/log/Log.cpp
@@ -13,20 +13,21 @@
 
 namespace stairspur::log {
 
-/// Lines that wait for the writer at most; more are dropped and counted, since logs must not hold up traffic.
-static constexpr auto MaxWaitingLines = std::size_t{20000};
+/// Maximum number of lines that wait for the writer. Further lines are dropped and counted, since logging must not
+/// delay traffic.
+static constexpr auto MaxPendingLines = std::size_t{20000};
 
-/// How long the writer gathers lines before it writes them all at once. Being woken and a system call for each line cost
-/// several times what the line itself does; a warning or an error is written at once.
-static constexpr auto GatherTime = std::chrono::milliseconds(50);
+/// Time for which the writer collects lines before it writes them in one batch. A wakeup and a system call for each
+/// line would cost several times as much as the line itself. Warnings and errors are written immediately.
+static constexpr auto BatchInterval = std::chrono::milliseconds(50);
 
-struct WaitingLine
+struct PendingLine
 {
     Severity severity;
     std::string text;
 };
 
-/// Hands lines to easylogging++ on a thread of its own.
+/// Formats and writes lines with easylogging++ on a dedicated thread.
 class Writer
 {
 public:
@@ -56,14 +57,14 @@
     {
         {
             const auto lock = std::scoped_lock(m_mutex);
-            if (m_waiting.size() >= MaxWaitingLines) {
+            if (m_pending.size() >= MaxPendingLines) {
                 ++m_dropped;
                 return;
             }
-            m_waiting.push_back({severity, std::move(text)});
+            m_pending.push_back({severity, std::move(text)});
             const auto wasUrgent = std::exchange(m_isUrgent, m_isUrgent || isUrgent(severity));
-            if (m_waiting.size() > 1 && wasUrgent == m_isUrgent)
-                return; // The writer is awake, or about to be.
+            if (m_pending.size() > 1 && wasUrgent == m_isUrgent)
+                return; // The writer is already awake or has already been notified.
         }
         m_wakeUp.notify_one();
     }
@@ -96,7 +97,7 @@
         el::Helpers::installLogDispatchCallback<BatchDispatch>("batch");
     }
 
-    /// Gathers lines, so that a batch of them costs one write; easylogging++ itself writes line by line.
+    /// Collects formatted lines, so that a batch takes one write. By default easylogging++ writes each line separately.
     class BatchDispatch : public el::LogDispatchCallback
     {
     protected:
@@ -107,7 +108,7 @@
         }
     };
 
-    /// What the library has made of the lines of one batch. Belongs to the writer's thread.
+    /// Returns the formatted lines of the current batch. Must only be called on the writer thread.
     static auto batch() -> std::string &
     {
         static auto text = std::string();
@@ -118,12 +119,12 @@
     {
         auto lock = std::unique_lock(m_mutex);
         while (true) {
-            m_wakeUp.wait(lock, [this] { return m_isStopping || !m_waiting.empty(); });
-            m_wakeUp.wait_for(lock, GatherTime, [this] { return m_isStopping || m_isUrgent; });
-            if (m_waiting.empty())
+            m_wakeUp.wait(lock, [this] { return m_isStopping || !m_pending.empty(); });
+            m_wakeUp.wait_for(lock, BatchInterval, [this] { return m_isStopping || m_isUrgent; });
+            if (m_pending.empty())
                 return;
-            auto lines = std::move(m_waiting);
-            m_waiting.clear();
+            auto lines = std::move(m_pending);
+            m_pending.clear();
             m_isUrgent = false;
             const auto dropped = std::exchange(m_dropped, 0);
             lock.unlock();
@@ -139,7 +140,7 @@
         }
     }
 
-    static auto writeLine(const WaitingLine &line) -> void
+    static auto writeLine(const PendingLine &line) -> void
     {
         switch (line.severity) {
         case Severity::Debug:
@@ -163,7 +164,7 @@
     std::string m_suffix;
     std::mutex m_mutex;
     std::condition_variable m_wakeUp;
-    std::vector<WaitingLine> m_waiting;
+    std::vector<PendingLine> m_pending;
     std::uint64_t m_dropped = 0;
     bool m_isUrgent = false;
     bool m_isStopping = false;
@@ -209,8 +210,8 @@
         writer().push(m_severity, std::move(m_text) + writer().suffix());
 }
 
-/// Bytes beyond ASCII are none: some readers of logs end lines at U+0085 or U+2028, and a caller's bytes need not be
-/// UTF-8 at all.
+/// Returns whether `c` is printable ASCII. Other bytes are escaped, since some log readers break lines at U+0085 or
+/// U+2028, and a caller's bytes may not be valid UTF-8.
 static auto isPrintable(char c) -> bool
 {
     return c >= ' ' && c <= '~';
--- a/tests/log/CapturedLog.h
+++ b/tests/log/CapturedLog.h
@@ -10,16 +10,17 @@
 
 namespace stairspur::log {
 
-/// The log of this process while it lives, in place of standard output. The pipe holds the few lines of a test; Criterion
-/// gives each test a process of its own, so that no other one is disturbed.
+/// Redirects standard output to a pipe and captures the log of this process. Nothing reads the pipe before finish(),
+/// so the log must fit into the pipe's buffer. Criterion runs each test in its own process, so other tests aren't
+/// affected.
 class CapturedLog
 {
 public:
     explicit CapturedLog(const LogSettings &settings)
         : m_standardOutput(::dup(STDOUT_FILENO))
     {
-        [[maybe_unused]] const auto made = ::pipe(m_ends.data());
-        assert(made == 0);
+        [[maybe_unused]] const auto result = ::pipe(m_ends.data());
+        assert(result == 0);
         ::dup2(m_ends[1], STDOUT_FILENO);
         start(settings);
     }
@@ -35,7 +36,7 @@
         ::close(m_standardOutput);
     }
 
-    /// Stops the writer and returns all that it wrote.
+    /// Stops the writer, restores standard output and returns the captured log.
     auto finish() -> std::string
     {
         stop();
--- a/tests/log/TestLog.cpp
+++ b/tests/log/TestLog.cpp
@@ -10,7 +10,7 @@
 using namespace stairspur::log;
 using namespace std::string_literals;
 
-/// What a line of one event holds behind its time and level.
+/// Returns the part of a line after its time and level.
 static auto eventOf(const std::string &log) -> std::string
 {
     const auto at = log.find("event=");
@@ -36,12 +36,12 @@
             {"newline", "a\nlevel=E event=x", R"(v="a\x0alevel=E event=x")"},
             {"carriage return", "a\rb", R"(v="a\x0db")"},
             {"tab", "a\tb", R"(v="a\x09b")"},
-            {"terminal's escape", "\x1b[2J", R"(v="\x1b[2J")"},
-            {"zero byte", "a\0b"s, R"(v="a\x00b")"},
+            {"terminal escape sequence", "\x1b[2J", R"(v="\x1b[2J")"},
+            {"null byte", "a\0b"s, R"(v="a\x00b")"},
             {"delete", "a\x7f", R"(v="a\x7f")"},
-            {"beyond ASCII", "\xc5\xbei", R"(v="\xc5\xbei")"},
-            {"Unicode's own newlines", "a\xc2\x85\xe2\x80\xa8", R"(v="a\xc2\x85\xe2\x80\xa8")"},
-            {"no UTF-8", "\xff", R"(v="\xff")"},
+            {"non-ASCII text", "\xc5\xbei", R"(v="\xc5\xbei")"},
+            {"Unicode line separators", "a\xc2\x85\xe2\x80\xa8", R"(v="a\xc2\x85\xe2\x80\xa8")"},
+            {"invalid UTF-8", "\xff", R"(v="\xff")"},
             {"percent signs", "%s%n%datetime", "v=%s%n%datetime"},
     };
     for (const auto &it : cases) {
@@ -69,7 +69,7 @@
                                 "node=192.0.2.7:7100\n");
 }
 
-Test(Log, lessThanTheMinimumIsNotWritten)
+Test(Log, linesBelowMinimumSeverityAreNotWritten)
 {
     auto log = CapturedLog({Severity::Warning, "", 1});
     cr_assert(!isEnabled(Severity::Info));
@@ -78,7 +78,7 @@
     cr_assert_eq(eventOf(log.finish()), "event=loud n=2\n");
 }
 
-Test(Log, oneDecisionInSoManyIsSampled)
+Test(Log, samplesOneOfEachFourDecisions)
 {
     auto log = CapturedLog({Severity::Info, "", 4});
     auto sampled = 0;
--- a/tests/log/TestLogPage.cpp
+++ b/tests/log/TestLogPage.cpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-/// The folder of the repository that this program was built in.
+/// Returns the root of the repository that this program was built in.
 static auto repository() -> std::filesystem::path
 {
     auto folder = std::filesystem::read_symlink("/proc/self/exe").parent_path();
@@ -16,30 +16,30 @@
     return folder;
 }
 
-static auto readWhole(const std::filesystem::path &path) -> std::string
+static auto readFile(const std::filesystem::path &path) -> std::string
 {
     auto file = std::ifstream(path);
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/// The row of `event` in the page, or an empty text.
+/// Returns the row of `event` in the page, or an empty string.
 static auto rowOf(const std::string &page, const std::string &event) -> std::string
 {
     const auto at = page.find("\n| `" + event + "` |");
     return at == std::string::npos ? "" : page.substr(at + 1, page.find('\n', at + 1) - at - 1);
 }
 
-Test(LogPage, namesEachEventAndItsKeys)
+Test(LogPage, listsEachEventAndItsKeys)
 {
     static const auto lines = std::regex(R"(log::Line\([^"]*"([^"]+)\"\)([^;]*);)");
     static const auto keys = std::regex(R"(\.add\("([^"]+)\")");
     const auto root = repository();
-    const auto page = readWhole(root / "docs/operations/logs.md");
+    const auto page = readFile(root / "docs/operations/logs.md");
     auto found = std::set<std::string>();
     for (const auto &file : std::filesystem::recursive_directory_iterator(root / "source")) {
         if (!file.is_regular_file())
             continue;
-        const auto text = readWhole(file.path());
+        const auto text = readFile(file.path());
         for (auto it = std::sregex_iterator(text.begin(), text.end(), lines);
              it != std::sregex_iterator(); ++it) {
             const auto event = (*it)[1].str();
