--- a/include/stairspur/metrics/Counter.h
+++ b/include/stairspur/metrics/Counter.h
@@ -7,14 +7,14 @@
 
 namespace stairspur::metrics {
 
-/// Which of a counter's shards the calling thread writes: threads take turns, so that a handful of
-/// traffic threads do not write the same cache line.
+/// Returns the index of the shard that the calling thread writes. Shards are assigned to threads round robin, so that
+/// a small number of traffic threads don't write the same cache line.
 auto shardOfThisThread() -> std::size_t;
 
 inline constexpr std::size_t ShardCount = 8;
 inline constexpr std::size_t CacheLineBytes = 64;
 
-/// A number that only grows. Any thread may write it, without locks.
+/// Monotonically increasing counter. Any thread may write it, without locks.
 class Counter
 {
 public:
@@ -23,7 +23,7 @@
         m_shards[shardOfThisThread()].value.fetch_add(by, std::memory_order_relaxed);
     }
 
-    /// The sum over all threads.
+    /// Returns the sum over all threads.
     [[nodiscard]] auto value() const -> std::uint64_t
     {
         auto sum = std::uint64_t{0};
--- a/include/stairspur/metrics/Gauge.h
+++ b/include/stairspur/metrics/Gauge.h
@@ -5,7 +5,7 @@
 
 namespace stairspur::metrics {
 
-/// A number that goes up and down. Any thread may write it, without locks.
+/// Value that can increase and decrease. Any thread may write it, without locks.
 class Gauge
 {
 public:
--- a/include/stairspur/metrics/LatencyHistogram.h
+++ b/include/stairspur/metrics/LatencyHistogram.h
@@ -9,25 +9,25 @@
 
 namespace stairspur::metrics {
 
-/// A histogram at one moment, merged over all threads.
+/// State of a histogram at one point in time, merged over all threads.
 struct HistogramSnapshot
 {
-    /// Of the buckets, rising. Above the last one stands `above`.
+    /// Upper edges of the buckets, in ascending order. `above` counts the values beyond the last one.
     std::vector<Duration> upperEdges;
     std::vector<std::uint64_t> counts;
-    std::uint64_t above = 0; ///< Values beyond the last edge.
+    std::uint64_t above = 0; ///< Number of values beyond the last edge.
     Duration sum{0};
 
     [[nodiscard]] auto total() const -> std::uint64_t;
 
-    /// Estimate of the value below which a share `q` (0..1) of all values lies, interpolated on the
-    /// logarithmic scale of its bucket, so that it is less than a bucket (a factor of 1.26) off.
-    /// The last edge for values beyond it, zero for an empty histogram.
+    /// Returns an estimate of the `q` quantile (0..1; other values are clamped). It is interpolated on the logarithmic
+    /// scale of its bucket, so that its error is less than one bucket (a factor of 1.26). Returns the last edge for
+    /// values beyond it, and zero for an empty histogram.
     [[nodiscard]] auto quantile(double q) const -> Duration;
 };
 
-/// Latencies in buckets that grow by a constant factor: 10 for each power of ten, from 10 us to
-/// 100 s. Any thread may record, without locks.
+/// Histogram of latencies with exponential buckets: 10 buckets for each power of ten, from 10 us to 100 s. Any thread
+/// may record values, without locks.
 class LatencyHistogram
 {
 public:
@@ -38,7 +38,7 @@
     auto operator=(const LatencyHistogram &) -> LatencyHistogram & = delete;
     auto operator=(LatencyHistogram &&) -> LatencyHistogram & = delete;
 
-    /// Counts one value; one below the first bucket counts in it.
+    /// Records one value. Values below the first bucket are counted in it.
     auto record(Duration value) -> void;
 
     [[nodiscard]] auto snapshot() const -> HistogramSnapshot;
@@ -46,7 +46,7 @@
 private:
     class Buckets;
     std::unique_ptr<Buckets> m_buckets;
-    Counter m_sum; ///< Microseconds.
+    Counter m_sum; ///< Sum of all values, in microseconds.
 };
 
 } // namespace stairspur::metrics
--- a/include/stairspur/metrics/Registry.h
+++ b/include/stairspur/metrics/Registry.h
@@ -16,10 +16,10 @@
 #include <stairspur/metrics/Gauge.h>
 #include <stairspur/metrics/LatencyHistogram.h>
 
-/// What a node counts about itself, for Prometheus to read.
+/// Metrics of a node, for Prometheus.
 namespace stairspur::metrics {
 
-/// A metric's name, type or label that cannot be shown, or that was registered otherwise before.
+/// A metric has a malformed name or label, or its name is registered with another type.
 class MetricError : public Error
 {
 public:
@@ -36,25 +36,25 @@
 
 using Labels = std::vector<Label>;
 
-/// What a metric is called, and what it tells: "stairspur_entry_refusals_total", "Calls that ...".
+/// Name and help text of a metric: "stairspur_entry_refusals_total", "Calls that ...".
 struct MetricText
 {
     std::string name;
     std::string help;
 };
 
-/// All metrics of a process. Finding one takes a lock: find it once and keep the reference, which
-/// lives as long as the registry. Recording takes none.
+/// All metrics of a process. Looking up a metric takes a lock, so look it up once and keep the reference, which is
+/// valid for the lifetime of the registry. Recording a value takes no lock.
 class Registry
 {
 public:
-    /// The metric with these labels, made at the first call. Throws MetricError when a name or
-    /// label is malformed, or the name stands for another type.
+    /// Returns the metric with this name and these labels, and creates it on first use. Throws MetricError when the
+    /// name or a label is malformed, or the name is registered with another type.
     auto counter(const MetricText &text, const Labels &labels = {}) -> Counter &;
     auto gauge(const MetricText &text, const Labels &labels = {}) -> Gauge &;
     auto histogram(const MetricText &text, const Labels &labels = {}) -> LatencyHistogram &;
 
-    /// Everything in the Prometheus text exposition format, version 0.0.4; latencies in seconds.
+    /// Returns all metrics in the Prometheus text exposition format, version 0.0.4. Latencies are in seconds.
     [[nodiscard]] auto renderPrometheus() const -> std::string;
 
 private:
@@ -64,7 +64,7 @@
     struct Family
     {
         std::string help;
-        std::size_t type = 0; ///< Index into Metric.
+        std::size_t type = 0; ///< Index of the alternative of Metric.
         std::map<Labels, Metric> metrics;
     };
 
@@ -78,7 +78,7 @@
     std::map<std::string, Family> m_families;
 };
 
-/// One counter for each value of an enumeration, by the label `labelName` with the value's name.
+/// One counter for each value of an enumeration. The label `labelName` contains the value's name.
 template <NamedEnum Enum>
 class EnumCounters
 {
--- a/source/metrics/Exposition.cpp
+++ b/source/metrics/Exposition.cpp
@@ -31,7 +31,7 @@
            && !name.starts_with("__");
 }
 
-/// Backslash and newline are escaped everywhere, quotes in label values only.
+/// Escapes backslashes and newlines, and quotes in label values only.
 static auto escape(std::string_view text, bool isLabelValue) -> std::string
 {
     auto escaped = std::string();
@@ -46,7 +46,7 @@
     return escaped;
 }
 
-/// The shortest text that reads back as the same number, whatever the locale.
+/// Returns the shortest text that parses to the same number, independent of the locale.
 static auto toText(double value) -> std::string
 {
     auto buf = std::array<char, 32>{};
--- a/source/metrics/Exposition.h
+++ b/source/metrics/Exposition.h
@@ -5,24 +5,23 @@
 
 #include <stairspur/metrics/Registry.h>
 
-/// Pieces of the Prometheus text exposition format, version 0.0.4.
+/// Elements of the Prometheus text exposition format, version 0.0.4.
 namespace stairspur::metrics {
 
-/// Whether `name` matches [a-zA-Z_:][a-zA-Z0-9_:]*.
+/// Returns whether `name` matches [a-zA-Z_:][a-zA-Z0-9_:]*.
 auto isMetricName(std::string_view name) -> bool;
 
-/// Whether `name` matches [a-zA-Z_][a-zA-Z0-9_]* and does not begin with "__", which Prometheus
-/// keeps for itself.
+/// Returns whether `name` matches [a-zA-Z_][a-zA-Z0-9_]* and doesn't start with "__", which Prometheus reserves.
 auto isLabelName(std::string_view name) -> bool;
 
-/// `{name="value",...}` with the values escaped; empty without labels.
+/// Returns `{name="value",...}` with the values escaped, or an empty string without labels.
 auto renderLabels(const Labels &labels) -> std::string;
 
-/// The `# HELP` and `# TYPE` lines.
+/// Returns the `# HELP` and `# TYPE` lines of a metric family.
 auto renderHead(const std::string &name, const std::string &help, std::string_view type)
         -> std::string;
 
-/// The lines of one metric.
+/// Returns the sample lines of one metric.
 auto renderSample(const std::string &name, const Labels &labels, const Counter &counter)
         -> std::string;
 auto renderSample(const std::string &name, const Labels &labels, const Gauge &gauge) -> std::string;
--- a/source/metrics/LatencyHistogram.cpp
+++ b/source/metrics/LatencyHistogram.cpp
@@ -19,8 +19,8 @@
 
 constexpr auto BucketsPerDecade = 10;
 constexpr auto Decades = 7;
-constexpr auto LeastMicroseconds = 10.0;
-constexpr auto MostMicroseconds = 100'000'000.0;
+constexpr auto MinMicroseconds = 10.0;
+constexpr auto MaxMicroseconds = 100'000'000.0;
 
 using Axis = histogram::axis::regular<double, histogram::axis::transform::log>;
 using AtomicCount = histogram::accumulators::count<std::uint64_t, true>;
@@ -30,12 +30,12 @@
 auto makeBuckets() -> Histogram
 {
     return histogram::make_histogram_with(
-            Storage(), Axis(BucketsPerDecade * Decades, LeastMicroseconds, MostMicroseconds));
+            Storage(), Axis(BucketsPerDecade * Decades, MinMicroseconds, MaxMicroseconds));
 }
 
 } // namespace
 
-/// The buckets' counters are atomic and their axis never grows, so filling them needs no lock.
+/// Buckets with atomic counters and an axis of fixed size, so that recording needs no lock.
 class LatencyHistogram::Buckets
 {
 public:
@@ -51,7 +51,7 @@
 auto LatencyHistogram::record(Duration value) -> void
 {
     const auto bounded = std::max(value, Duration::zero());
-    m_buckets->histogram(std::max(LeastMicroseconds, static_cast<double>(bounded.count())));
+    m_buckets->histogram(std::max(MinMicroseconds, static_cast<double>(bounded.count())));
     m_sum.increment(static_cast<std::uint64_t>(bounded.count()));
 }
 
@@ -89,7 +89,7 @@
         }
         const auto upper = static_cast<double>(upperEdges[index].count());
         const auto lower =
-                index == 0 ? LeastMicroseconds : static_cast<double>(upperEdges[index - 1].count());
+                index == 0 ? MinMicroseconds : static_cast<double>(upperEdges[index - 1].count());
         return Duration{std::llround(lower * std::pow(upper / lower, (wanted - below) / n))};
     }
     return upperEdges.back();
--- a/source/metrics/Registry.cpp
+++ b/source/metrics/Registry.cpp
@@ -4,19 +4,20 @@
 
 namespace stairspur::metrics {
 
-/// In the order of Registry::Metric's alternatives.
+/// Names of the metric types, in the order of Registry::Metric's alternatives.
 static constexpr auto TypeNames = std::array<std::string_view, 3>{"counter", "gauge", "histogram"};
 
-/// Throws MetricError unless Prometheus can read the name and the labels.
+/// Throws MetricError unless the name and the labels are valid for Prometheus.
 static auto ensureRenderable(const MetricText &text, const Labels &labels) -> void
 {
     if (!isMetricName(text.name))
-        throw MetricError("'" + text.name + "' is no name of a metric",
-                          "use letters, digits, '_' and ':', and no digit at its start");
+        throw MetricError("'" + text.name + "' is not a valid metric name",
+                          "use letters, digits, '_' and ':', and start with no digit");
     for (const auto &it : labels) {
         if (!isLabelName(it.name) || it.name == "le")
-            throw MetricError("'" + it.name + "' is no name of a label of " + text.name,
-                              "use letters, digits and '_', neither 'le' nor '__' at its start");
+            throw MetricError("'" + it.name + "' is not a valid label name of " + text.name,
+                              "use letters, digits and '_', start with neither a digit nor '__', "
+                              "and don't use 'le'");
     }
 }
 
@@ -28,7 +29,7 @@
     const auto type = Metric(std::unique_ptr<Kind>()).index();
     const auto [family, isNew] = m_families.try_emplace(text.name, Family{text.help, type, {}});
     if (family->second.type != type)
-        throw MetricError(text.name + " stands for a "
+        throw MetricError(text.name + " is already registered as a "
                                   + std::string(TypeNames[family->second.type]),
                           "give the " + std::string(TypeNames[type]) + " another name");
     auto &metric = family->second.metrics[labels];
--- a/tests/metrics/TestMetrics.cpp
+++ b/tests/metrics/TestMetrics.cpp
@@ -44,7 +44,7 @@
     cr_assert(registry.renderPrometheus().starts_with("# HELP n say \"x\"\\nand \\\\\n"));
 }
 
-Test(Registry, malformedNamesAndChangedTypesAreRefused)
+Test(Registry, malformedNamesAndChangedTypesAreRejected)
 {
     for (const auto *it : {"", "9a", "a-b", "a b", "a\n", "č"})
         cr_assert_throw(Registry().counter({it, ""}), MetricError, "'%s'", it);
@@ -56,7 +56,7 @@
     cr_assert_throw(registry.histogram({"n", ""}, {{"l", "v"}}), MetricError);
 }
 
-Test(Registry, enumerationsCountByName)
+Test(Registry, enumCountersAreLabelledByValueName)
 {
     auto registry = Registry();
     auto outcomes = EnumCounters<Outcome>(registry, {"calls_total", "Calls."}, "outcome");
@@ -81,7 +81,7 @@
         cr_assert(text.find(it) != std::string::npos, "%s is missing in\n%s", it, text.c_str());
 }
 
-/// The tenth root of 10: a bucket's upper edge by its lower one.
+/// Ratio of a bucket's upper edge to its lower edge: the tenth root of 10.
 static constexpr auto BucketFactor = 1.2590;
 
 Test(LatencyHistogram, quantilesAreWithinABucket)
@@ -100,7 +100,7 @@
     }
 }
 
-Test(LatencyHistogram, quantilesOfTheEdgeCases)
+Test(LatencyHistogram, quantilesOfEdgeCases)
 {
     struct
     {
@@ -113,7 +113,7 @@
             {"empty", {}, 0.5, Duration{0}, Duration{0}},
             {"one", {Duration{1000}}, 0.5, Duration{790}, Duration{1260}},
             {"least", {Duration{1}}, 0.0, Duration{10}, Duration{10}},
-            {"beyond the last",
+            {"beyond the last edge",
              {Duration{500'000'000}},
              0.5,
              Duration{100'000'000},
@@ -130,7 +130,7 @@
     }
 }
 
-Test(Registry, threadsLoseNothing)
+Test(Registry, concurrentUpdatesAreAllCounted)
 {
     auto registry = Registry();
     auto &counter = registry.counter({"n_total", ""});
