--- a/include/stairspur/blackboard/Blackboard.h
+++ b/include/stairspur/blackboard/Blackboard.h
@@ -7,12 +7,12 @@
 #include <mutex>
 #include <thread>
 
-/// What controllers tell each other and the traffic threads.
+/// Shared state that controllers publish to each other and to the traffic threads.
 namespace stairspur::blackboard {
 
-/// One key of the blackboard: an immutable value that a single controller replaces and anybody reads.
+/// One entry of the blackboard: an immutable value that a single controller replaces and any thread reads.
 ///
-/// Readers keep their snapshot as long as they like; a newer one never changes it under their hands.
+/// A snapshot stays valid and unchanged for as long as a reader keeps it; publishing a value creates a new snapshot.
 template <typename Value>
 class Entry
 {
@@ -29,13 +29,14 @@
         return m_value;
     }
 
-    /// Replaces the value. Only the controller that owns this key calls this, from the control thread.
+    /// Replaces the value. Must only be called by the controller that owns this entry, from the control thread.
     auto publish(Value value) -> void
     {
         publishSnapshot(std::make_shared<const Value>(std::move(value)));
     }
 
-    /// As publish(), for a value that is shared already: a large one is not copied. Never null.
+    /// Replaces the value with a snapshot that is already shared, so that a large value isn't copied. `snapshot` must
+    /// not be null.
     auto publishSnapshot(Snapshot snapshot) -> void
     {
         assert(snapshot);
@@ -46,7 +47,7 @@
         m_generation.fetch_add(1, std::memory_order_release);
     }
 
-    /// Grows with each publication, so that a reader can ask cheaply whether anything is new.
+    /// Returns a number that increases with each publication, for readers to detect a new value cheaply.
     [[nodiscard]] auto generation() const -> std::uint64_t
     {
         return m_generation.load(std::memory_order_acquire);
--- a/tests/blackboard/TestBlackboard.cpp
+++ b/tests/blackboard/TestBlackboard.cpp
@@ -6,19 +6,19 @@
 
 using namespace stairspur::blackboard;
 
-Test(Blackboard, readersKeepWhatTheyRead)
+Test(Blackboard, snapshotsStayUnchangedAfterPublish)
 {
     auto entry = Entry<std::string>();
     entry.publish("first");
-    const auto kept = entry.read();
+    const auto snapshot = entry.read();
     const auto generation = entry.generation();
     entry.publish("second");
-    cr_assert_eq(*kept, "first");
+    cr_assert_eq(*snapshot, "first");
     cr_assert_eq(*entry.read(), "second");
     cr_assert_gt(entry.generation(), generation);
 }
 
-Test(Blackboard, aSharedSnapshotIsNotCopied)
+Test(Blackboard, sharedSnapshotIsNotCopied)
 {
     auto entry = Entry<std::string>();
     const auto generation = entry.generation();
