--- a/source/core/Cbor.cpp
+++ b/source/core/Cbor.cpp
@@ -59,9 +59,9 @@
 
     auto skipItem() -> void
     {
-        const auto head = readByte();
-        const auto major = head >> 5U;
-        const auto argument = readArgument(head & 0x1fU);
+        const auto initialByte = readByte();
+        const auto major = initialByte >> 5U;
+        const auto argument = readArgument(initialByte & 0x1fU);
         if (major == Tag)
             throwMalformed();
         if (major == Bytes || major == Text)
@@ -79,16 +79,16 @@
         m_openCounts.push_back(count * itemsEach);
     }
 
-    auto readArgument(std::uint32_t information) -> std::uint64_t
+    auto readArgument(std::uint32_t additionalInformation) -> std::uint64_t
     {
         static constexpr auto FirstWide = 24U;
         static constexpr auto LastWide = 27U;
-        if (information < FirstWide)
-            return information;
-        if (information > LastWide)
+        if (additionalInformation < FirstWide)
+            return additionalInformation;
+        if (additionalInformation > LastWide)
             throwMalformed();
         auto value = std::uint64_t{0};
-        for (auto n = 1U << (information - FirstWide); n > 0; --n)
+        for (auto n = 1U << (additionalInformation - FirstWide); n > 0; --n)
             value = (value << 8U) | readByte();
         return value;
     }
--- a/tests/core/TestCbor.cpp
+++ b/tests/core/TestCbor.cpp
@@ -17,7 +17,7 @@
 
 Test(Cbor, malformedBytesThrowOnlyInputError)
 {
-    static constexpr auto Deep = std::size_t{1'000'000};
+    static constexpr auto NestingDepth = std::size_t{1'000'000};
     struct
     {
         const char *name;
@@ -27,12 +27,12 @@
             {"truncated text", "\x65"
                                "ab"},
             {"two items", "\x01\x02"},
-            {"nested arrays", std::string(Deep, '\x81')},
-            {"nested maps", std::string(Deep, '\xa1')},
-            {"nested tags", std::string(Deep, '\xc1')},
-            {"nested indefinite arrays", std::string(Deep, '\x9f')},
-            {"nested indefinite texts", std::string(Deep, '\x7f')},
-            {"nested indefinite byte strings", std::string(Deep, '\x5f')},
+            {"nested arrays", std::string(NestingDepth, '\x81')},
+            {"nested maps", std::string(NestingDepth, '\xa1')},
+            {"nested tags", std::string(NestingDepth, '\xc1')},
+            {"nested indefinite arrays", std::string(NestingDepth, '\x9f')},
+            {"nested indefinite texts", std::string(NestingDepth, '\x7f')},
+            {"nested indefinite byte strings", std::string(NestingDepth, '\x5f')},
             {"an array of 2^63 items", "\x9b\x80" + std::string(7, '\0')},
             {"a map of 2^63 pairs", "\xbb\x80" + std::string(7, '\0')},
             {"a text of 2^63 bytes", "\x7b\x80" + std::string(7, '\0')},
