--- a/source/log/Log.cpp
+++ b/source/log/Log.cpp
@@ -34,7 +34,7 @@
     auto start(const LogSettings &settings) -> void
     {
         m_minimum = settings.minimum;
-        m_sample = settings.decisionSample == 0 ? 1 : settings.decisionSample;
+        m_decisionSample = settings.decisionSample == 0 ? 1 : settings.decisionSample;
         m_suffix = settings.node.empty() ? std::string() : " node=" + settings.node;
         configureLibrary();
         m_isStopping = false;
@@ -76,7 +76,7 @@
 
     auto isDecisionSampled() -> bool
     {
-        return m_decisions.fetch_add(1, std::memory_order_relaxed) % m_sample == 0;
+        return m_decisionCount.fetch_add(1, std::memory_order_relaxed) % m_decisionSample == 0;
     }
 
     [[nodiscard]] auto suffix() const -> const std::string & { return m_suffix; }
@@ -159,8 +159,8 @@
     }
 
     std::atomic<Severity> m_minimum = Severity::Info;
-    std::atomic<std::uint32_t> m_sample = 1;
-    std::atomic<std::uint64_t> m_decisions = 0;
+    std::atomic<std::uint32_t> m_decisionSample = 1;
+    std::atomic<std::uint64_t> m_decisionCount = 0;
     std::string m_suffix;
     std::mutex m_mutex;
     std::condition_variable m_wakeUp;
