--- a/include/stairspur/metrics/Registry.h
+++ b/include/stairspur/metrics/Registry.h
@@ -87,9 +87,9 @@
                  const Labels &labels = {})
     {
         for (std::size_t index = 0; index < m_counters.size(); ++index) {
-            auto all = labels;
-            all.push_back({labelName, std::string(enumNames<Enum>[index])});
-            m_counters[index] = &registry.counter(text, all);
+            auto counterLabels = labels;
+            counterLabels.push_back({labelName, std::string(enumNames<Enum>[index])});
+            m_counters[index] = &registry.counter(text, counterLabels);
         }
     }
 
--- a/source/metrics/LatencyHistogram.cpp
+++ b/source/metrics/LatencyHistogram.cpp
@@ -50,9 +50,9 @@
 
 auto LatencyHistogram::record(Duration value) -> void
 {
-    const auto bounded = std::max(value, Duration::zero());
-    m_buckets->histogram(std::max(MinMicroseconds, static_cast<double>(bounded.count())));
-    m_sum.increment(static_cast<std::uint64_t>(bounded.count()));
+    const auto clamped = std::max(value, Duration::zero());
+    m_buckets->histogram(std::max(MinMicroseconds, static_cast<double>(clamped.count())));
+    m_sum.increment(static_cast<std::uint64_t>(clamped.count()));
 }
 
 auto LatencyHistogram::snapshot() const -> HistogramSnapshot
@@ -77,20 +77,21 @@
 
 auto HistogramSnapshot::quantile(double q) const -> Duration
 {
-    const auto wanted = std::clamp(q, 0.0, 1.0) * static_cast<double>(total());
+    const auto targetCount = std::clamp(q, 0.0, 1.0) * static_cast<double>(total());
     if (upperEdges.empty() || total() == 0)
         return Duration::zero();
-    auto below = 0.0;
+    auto cumulative = 0.0;
     for (std::size_t index = 0; index < counts.size(); ++index) {
         const auto n = static_cast<double>(counts[index]);
-        if (n == 0 || below + n < wanted) {
-            below += n;
+        if (n == 0 || cumulative + n < targetCount) {
+            cumulative += n;
             continue;
         }
         const auto upper = static_cast<double>(upperEdges[index].count());
         const auto lower =
                 index == 0 ? MinMicroseconds : static_cast<double>(upperEdges[index - 1].count());
-        return Duration{std::llround(lower * std::pow(upper / lower, (wanted - below) / n))};
+        return Duration{
+                std::llround(lower * std::pow(upper / lower, (targetCount - cumulative) / n))};
     }
     return upperEdges.back();
 }
--- a/tests/metrics/TestMetrics.cpp
+++ b/tests/metrics/TestMetrics.cpp
@@ -27,7 +27,7 @@
     struct
     {
         const char *value;
-        const char *shown;
+        const char *escaped;
     } cases[] = {
             {"plain", "plain"},    {"a\"b", "a\\\"b"}, {"a\\b", "a\\\\b"},
             {"a\nb 9", "a\\nb 9"}, {"", ""},           {"č", "č"},
@@ -36,7 +36,7 @@
         auto registry = Registry();
         registry.counter({"n", it.value}, {{"l", it.value}});
         const auto text = registry.renderPrometheus();
-        const auto sample = "\nn{l=\"" + std::string(it.shown) + "\"} 0\n";
+        const auto sample = "\nn{l=\"" + std::string(it.escaped) + "\"} 0\n";
         cr_assert(text.find(sample) != std::string::npos, "%s", text.c_str());
     }
     auto registry = Registry();
@@ -137,16 +137,16 @@
     auto &histogram = registry.histogram({"t_seconds", ""});
     auto threads = std::vector<std::jthread>();
     constexpr auto Threads = 4;
-    constexpr auto Each = 20'000;
+    constexpr auto UpdatesPerThread = 20'000;
     for (auto n = 0; n < Threads; ++n) {
         threads.emplace_back([&] {
-            for (auto it = 0; it < Each; ++it) {
+            for (auto it = 0; it < UpdatesPerThread; ++it) {
                 counter.increment();
                 histogram.record(Duration{it});
             }
         });
     }
     threads.clear();
-    cr_assert_eq(counter.value(), Threads * Each);
-    cr_assert_eq(histogram.snapshot().total(), Threads * Each);
+    cr_assert_eq(counter.value(), Threads * UpdatesPerThread);
+    cr_assert_eq(histogram.snapshot().total(), Threads * UpdatesPerThread);
 }
