--- a/include/stairspur/store/StoreCaller.h
+++ b/include/stairspur/store/StoreCaller.h
@@ -26,7 +26,7 @@
     std::string detail{};
     std::uint32_t httpStatus = 0; ///< Of the response; 0 without one.
     /// A fresh connection brought the answer while a kept one said nothing.
-    bool hasFoundSilence = false;
+    bool hasFoundSilentConnection = false;
 };
 
 /// Calls to a store over HTTP, whatever its protocol: the rate limit, further attempts where they do no harm, counters
@@ -89,7 +89,7 @@
     if (attempt.status != StoreStatus::Ok)
         return {attempt.status, {}, attempt.detail};
     try {
-        return {StoreStatus::Ok, decode(attempt.answer), {}, attempt.hasFoundSilence};
+        return {StoreStatus::Ok, decode(attempt.answer), {}, attempt.hasFoundSilentConnection};
     } catch (const std::exception &error) {
         return {StoreStatus::Unknown, {}, error.what()};
     }
--- a/include/stairspur/store/StoreTypes.h
+++ b/include/stairspur/store/StoreTypes.h
@@ -41,7 +41,7 @@
     Value value{};
     std::string detail; ///< What went wrong, for the log; empty when nothing did.
     /// The answer came over a fresh connection while a kept one said nothing: others of its age may be as dead.
-    bool hasFoundSilence = false;
+    bool hasFoundSilentConnection = false;
 
     [[nodiscard]] auto isOk() const -> bool { return status == StoreStatus::Ok; }
 };
--- a/source/distribution/DistributionService.cpp
+++ b/source/distribution/DistributionService.cpp
@@ -252,7 +252,7 @@
             m_state.didFailToReadHead(monotonicNow());
         if (reading.isOk && reading.head)
             m_state.didProveHead(*reading.head, sentAt, monotonicNow());
-        if (answer.hasFoundSilence)
+        if (answer.hasFoundSilentConnection)
             didFindSilence(sentAt);
         carryOut();
     }
--- a/source/store/StoreCaller.cpp
+++ b/source/store/StoreCaller.cpp
@@ -127,7 +127,7 @@
     race->fresh->cancel();
     auto &result = race->result;
     if (race->hasFreshAnswered) {
-        result.hasFoundSilence = true;
+        result.hasFoundSilentConnection = true;
         m_client.closeUnusedSince(begin);
         log::Line(log::Severity::Info, "store-connection-silent")
                 .add("call", kind)
--- a/tests/platform/TestSilentStore.cpp
+++ b/tests/platform/TestSilentStore.cpp
@@ -77,7 +77,7 @@
     const auto found = bench.wait(bench.store.range({.key = "/k"}));
     cr_assert(found.isOk(), "%s", found.detail.c_str());
     cr_assert_eq(found.value.pairs.size(), 1);
-    cr_assert(found.hasFoundSilence);
+    cr_assert(found.hasFoundSilentConnection);
     cr_assert_eq(bench.relay.accepted(), 4);
 }
 
@@ -87,11 +87,11 @@
     bench.server.put("/k", "v");
     bench.keepConnections(3);
     bench.relay.silenceOpen();
-    cr_assert(bench.wait(bench.store.range({.key = "/k"})).hasFoundSilence);
+    cr_assert(bench.wait(bench.store.range({.key = "/k"})).hasFoundSilentConnection);
     for (auto n = 0; n < 3; ++n) {
         const auto found = bench.wait(bench.store.range({.key = "/k"}));
         cr_assert(found.isOk());
-        cr_assert_not(found.hasFoundSilence);
+        cr_assert_not(found.hasFoundSilentConnection);
     }
     cr_assert_eq(bench.relay.accepted(), 4);
 }
@@ -112,7 +112,7 @@
     const auto before = bench.server.calls();
     const auto found = bench.wait(bench.store.range({.key = "/k"}));
     cr_assert(found.isOk());
-    cr_assert_not(found.hasFoundSilence);
+    cr_assert_not(found.hasFoundSilentConnection);
     cr_assert_eq(bench.server.calls(), before + 1);
 }
 
