--- a/include/stairspur/store/StoreSettings.h
+++ b/include/stairspur/store/StoreSettings.h
@@ -17,7 +17,8 @@
     std::uint32_t attempts = 3;       ///< At one call, where sending it again is safe.
     Duration minBackoff{100'000};     ///< Before the second attempt.
     Duration maxBackoff{5'000'000};
-    Duration watchSilence{60'000'000}; ///< A watch that says nothing for so long is opened anew.
+    Duration watchIdleTimeout{
+            60'000'000}; ///< A watch that says nothing for so long is opened anew.
     std::uint32_t maxWatchLineBytes = 4U << 20U;
 };
 
--- a/source/store/WatchStream.cpp
+++ b/source/store/WatchStream.cpp
@@ -87,7 +87,7 @@
             auto ec = beast::error_code();
             m_parser.get().body().data = buf.data();
             m_parser.get().body().size = buf.size();
-            m_stream.expires_after(m_settings.watchSilence);
+            m_stream.expires_after(m_settings.watchIdleTimeout);
             co_await http::async_read_some(m_stream, m_buffer, m_parser,
                                            asio::redirect_error(asio::use_awaitable, ec));
             const auto n = buf.size() - m_parser.get().body().size;
