--- a/include/stairspur/store/HedgeDelay.h
+++ b/include/stairspur/store/HedgeDelay.h
@@ -13,16 +13,16 @@
 class HedgeDelay
 {
 public:
-    static constexpr auto Shortest = Duration{200'000};
-    static constexpr auto Longest = Duration{1'000'000};
+    static constexpr auto MinDelay = Duration{200'000};
+    static constexpr auto MaxDelay = Duration{1'000'000};
 
     [[nodiscard]] auto value() const -> Duration
     {
-        return std::clamp(LatencyFactor * m_latency, Shortest, Longest);
+        return std::clamp(LatencyFactor * m_latency, MinDelay, MaxDelay);
     }
 
     /// An answer took `latency` from the time at which its own copy of the read was sent.
-    auto didAnswer(Duration latency) -> void { m_latency = latency; }
+    auto didReceiveAnswer(Duration latency) -> void { m_latency = latency; }
 
 private:
     static constexpr auto LatencyFactor = 2;
--- a/source/store/StoreCaller.cpp
+++ b/source/store/StoreCaller.cpp
@@ -151,7 +151,7 @@
     race->result = std::move(attempt);
     if (race->isAnswered()) {
         race->hasFreshAnswered = isFresh && race->running > 0;
-        m_hedgeDelay.didAnswer(monotonicNow() - begin);
+        m_hedgeDelay.didReceiveAnswer(monotonicNow() - begin);
     }
     if (race->isDecided())
         race->timer.cancel();
--- a/tests/platform/TestSilentStore.cpp
+++ b/tests/platform/TestSilentStore.cpp
@@ -119,13 +119,13 @@
 Test(HedgeDelay, followsTheLatestAnswerWithinItsBounds)
 {
     auto delay = HedgeDelay();
-    cr_expect(delay.value() == HedgeDelay::Shortest);
-    delay.didAnswer(std::chrono::milliseconds(4));
-    cr_expect(delay.value() == HedgeDelay::Shortest);
-    delay.didAnswer(std::chrono::milliseconds(240));
+    cr_expect(delay.value() == HedgeDelay::MinDelay);
+    delay.didReceiveAnswer(std::chrono::milliseconds(4));
+    cr_expect(delay.value() == HedgeDelay::MinDelay);
+    delay.didReceiveAnswer(std::chrono::milliseconds(240));
     cr_expect(delay.value() == std::chrono::milliseconds(480));
-    delay.didAnswer(std::chrono::seconds(30));
-    cr_expect(delay.value() == HedgeDelay::Longest);
-    delay.didAnswer(std::chrono::milliseconds(4));
-    cr_expect(delay.value() == HedgeDelay::Shortest);
+    delay.didReceiveAnswer(std::chrono::seconds(30));
+    cr_expect(delay.value() == HedgeDelay::MaxDelay);
+    delay.didReceiveAnswer(std::chrono::milliseconds(4));
+    cr_expect(delay.value() == HedgeDelay::MinDelay);
 }
