--- a/include/stairspur/store/StoreCaller.h
+++ b/include/stairspur/store/StoreCaller.h
@@ -48,7 +48,7 @@
                   transport::CancellationPtr cancellation) -> transport::Task<StoreAttempt>;
 
     /// Waits for the rate limit; false: the line is too long.
-    auto waitForTurn() -> transport::Task<bool>;
+    auto waitForRateLimit() -> transport::Task<bool>;
 
     auto count(StoreCall kind, StoreStatus status) -> void;
     auto countWatchMessage() -> void { m_counters.watchMessages += 1; }
--- a/source/store/EtcdStore.cpp
+++ b/source/store/EtcdStore.cpp
@@ -127,7 +127,7 @@
 {
     const auto caller = m_caller;
     const auto start = request.startRevision;
-    if (!co_await caller->waitForTurn())
+    if (!co_await caller->waitForRateLimit())
         co_return StoreResult<WatchEnd>{
                 StoreStatus::Unreachable, {start}, "the store's rate limit is used up"};
     auto counting = [caller, handler = std::move(handler)](const WatchMessage &message) {
--- a/source/store/StoreCaller.cpp
+++ b/source/store/StoreCaller.cpp
@@ -88,7 +88,7 @@
     for (auto n = std::uint32_t{0}; n < m_settings.attempts; ++n) {
         if (n > 0)
             co_await sleep(backoff.next(m_random));
-        if (!co_await waitForTurn())
+        if (!co_await waitForRateLimit())
             co_return StoreAttempt{
                     StoreStatus::Unreachable, {}, "the store's rate limit is used up"};
         attempt = isRepeatable(kind)
@@ -118,7 +118,7 @@
     ++race->running;
     asio::co_spawn(m_io, enterRace(race, request, transport::HttpClient::AnyAge), asio::detached);
     co_await race->wait(m_hedgeDelay.value());
-    if (!race->isDecided() && co_await waitForTurn() && !race->isDecided()) {
+    if (!race->isDecided() && co_await waitForRateLimit() && !race->isDecided()) {
         ++race->running;
         asio::co_spawn(m_io, enterRace(race, std::move(request), Duration::zero()), asio::detached);
     }
@@ -174,7 +174,7 @@
     }
 }
 
-auto StoreCaller::waitForTurn() -> Task<bool>
+auto StoreCaller::waitForRateLimit() -> Task<bool>
 {
     if (m_inLine > m_settings.callsPerSecond * MaxTimeoutsInLine)
         co_return false;
