--- a/include/stairspur/store/AnyStore.h
+++ b/include/stairspur/store/AnyStore.h
@@ -9,7 +9,8 @@
 
 namespace stairspur::store {
 
-/// A store whose protocol is chosen when the process starts. Wraps any PlatformStore that counts its calls.
+/// A store whose protocol is chosen when the process starts. Wraps any PlatformStore that counts its calls, and
+/// forwards all calls to it.
 class AnyStore
 {
 public:
--- a/include/stairspur/store/Backoff.h
+++ b/include/stairspur/store/Backoff.h
@@ -8,8 +8,8 @@
 
 namespace stairspur::store {
 
-/// Exponential backoff with full jitter: the n-th wait is drawn evenly from the upper half of base * 2^n, up to a
-/// maximum, so that hosts that failed together do not come back together.
+/// Exponential backoff with jitter. The n-th wait is drawn uniformly from the upper half of base * 2^n, with base * 2^n
+/// limited to a maximum. The jitter spreads the retries of hosts that failed at the same time.
 class Backoff
 {
 public:
@@ -18,6 +18,7 @@
         , m_maximum(maximum)
     {}
 
+    /// Returns the next wait.
     auto next(Random &random) -> Duration
     {
         const auto ceiling = std::min(m_maximum, m_base * (std::int64_t{1} << m_failures));
@@ -27,6 +28,7 @@
                 half + static_cast<std::int64_t>(randomUnit(random) * static_cast<double>(half))};
     }
 
+    /// Returns to the shortest wait, after a success.
     auto reset() -> void { m_failures = 0; }
 
 private:
--- a/include/stairspur/store/Base64.h
+++ b/include/stairspur/store/Base64.h
@@ -5,10 +5,10 @@
 
 namespace stairspur::store {
 
-/// Base64 with padding (RFC 4648, section 4).
+/// Returns `bytes` as base64 with padding (RFC 4648, section 4).
 auto toBase64(std::string_view bytes) -> std::string;
 
-/// Throws InputError when `text` is not base64.
+/// Returns the bytes that `text` encodes. Throws InputError if `text` is not base64 with padding.
 auto fromBase64(std::string_view text) -> std::string;
 
 } // namespace stairspur::store
--- a/include/stairspur/store/EtcdStore.h
+++ b/include/stairspur/store/EtcdStore.h
@@ -20,7 +20,7 @@
 
 class StoreCaller;
 
-/// PlatformStore over the JSON gateway of etcd v3. Belongs to the thread of its io_context.
+/// PlatformStore over the JSON gateway of etcd v3. Used only on the thread of its io_context.
 class EtcdStore
 {
 public:
@@ -39,11 +39,12 @@
     auto keepLeaseAlive(LeaseId lease) -> transport::Task<StoreResult<LeaseAnswer>>;
     auto revokeLease(LeaseId lease) -> transport::Task<StoreResult<LeaseAnswer>>;
 
-    /// Hands on each message until the stream ends, falls silent (settings) or is cancelled. The caller opens it anew
-    /// from where it ended, after a backoff. `cancellation` may be null.
+    /// Calls `handler` with each message until the stream ends, exceeds the idle timeout of the settings or is
+    /// cancelled. The user opens the next watch at WatchEnd::nextRevision after a backoff. `cancellation` may be null.
     auto watch(WatchRequest request, WatchHandler handler, transport::CancellationPtr cancellation)
             -> transport::Task<StoreResult<WatchEnd>>;
 
+    /// Returns the counters of all calls of this client.
     [[nodiscard]] auto counters() const -> const StoreCounters &;
 
 private:
--- a/include/stairspur/store/PlatformStore.h
+++ b/include/stairspur/store/PlatformStore.h
@@ -10,10 +10,10 @@
 
 namespace stairspur::store {
 
-/// What stairspur needs of the platform's key-value store. Another store's protocol is one more adapter of this kind.
+/// Interface to the platform's key-value store. Each protocol of a store has an adapter that satisfies this concept.
 ///
-/// No call throws for what goes wrong on the way: the status says what is known. Reads are sent again by the adapter
-/// while that helps; a write is sent again only when it is certain that it was not applied.
+/// Calls report connection and store failures by their status and don't throw for them. The adapter retries reads that
+/// were not answered. It retries a write only when the write was certainly not applied.
 template <typename Store>
 concept PlatformStore =
         requires(Store &store, RangeRequest range, Transaction transaction, std::string text,
--- a/include/stairspur/store/StoreTypes.h
+++ b/include/stairspur/store/StoreTypes.h
@@ -11,19 +11,19 @@
 #include <stairspur/core/EnumNames.h>
 #include <stairspur/core/Time.h>
 
-/// What the platform's key-value store is asked and answers, whichever protocol it speaks.
+/// Requests to the platform's key-value store and its answers, independent of the store's protocol.
 namespace stairspur::store {
 
-/// How a call to the store ended.
+/// Outcome of a call to the store.
 enum class StoreStatus {
     Ok,
-    CasFailed, ///< The comparison of a transaction did not hold: nothing was written.
-    Unreachable, ///< Certainly not applied: the store never got the request, or said that it did nothing.
-    Unknown,  ///< No whole answer came: a write may have been applied, now or yet.
-    Rejected, ///< The store refused the request for good (malformed, too large, lease not found).
+    CasFailed,   ///< A comparison of the transaction failed, so nothing was written.
+    Unreachable, ///< The call was certainly not applied: the store did not receive it, or answered that it did nothing.
+    Unknown, ///< No complete, valid answer arrived. A write may have been applied, or may still be applied later.
+    Rejected, ///< The store permanently refused the request (malformed, too large, lease not found).
 };
 
-/// The kinds of call, as the counters list them. A watch counts as one read while it waits.
+/// Kinds of call, as the counters list them. A whole watch counts as one call.
 enum class StoreCall {
     Range,
     Put,
@@ -34,49 +34,56 @@
     Watch,
 };
 
+/// Outcome of a call, with its decoded answer.
 template <typename Value>
 struct StoreResult
 {
     StoreStatus status = StoreStatus::Unknown;
     Value value{};
-    std::string detail; ///< What went wrong, for the log; empty when nothing did.
-    /// The answer came over a fresh connection while a kept one said nothing: others of its age may be as dead.
+    std::string detail; ///< Description of the failure, for the log. Empty on success.
+    /// Whether the answer arrived over a fresh connection while a kept connection did not answer. Other connections as
+    /// old as the kept one may be dead too.
     bool hasFoundSilentConnection = false;
 
     [[nodiscard]] auto isOk() const -> bool { return status == StoreStatus::Ok; }
 };
 
-/// Revisions count the store's writes as in etcd: each write transaction has one of its own.
+/// Number of a write transaction of the store. As in etcd, each write transaction has its own revision.
 using Revision = std::int64_t;
 using LeaseId = std::int64_t;
 
+/// A stored pair with its revisions.
 struct KeyValue
 {
     std::string key;
     std::string value;
     Revision createRevision = 0;
     Revision modRevision = 0;
-    std::int64_t version = 0; ///< Writes of this key since it was created.
-    LeaseId lease = 0;
+    std::int64_t version = 0; ///< Number of writes of this key since it was created.
+    LeaseId lease = 0;        ///< Lease at whose end the key is deleted; 0 if there is none.
 };
 
+/// A read of one key or of a range of keys.
 struct RangeRequest
 {
     std::string key;
-    std::string rangeEnd; ///< Empty: the one key; else all keys in [key, rangeEnd).
-    std::int64_t limit = 0;
-    bool keysOnly = false;
-    /// The answer may be some seconds old. For hints alone: it costs the store a tenth of an answer that is not.
+    std::string rangeEnd;   ///< If empty, only `key` is read, else all keys in [key, rangeEnd).
+    std::int64_t limit = 0; ///< Maximum number of pairs in the answer; 0 for no limit.
+    bool keysOnly = false;  ///< Whether the answer omits the values.
+    /// Whether the answer may be some seconds old. Only hints may be read so. Such a read costs the store a tenth of a
+    /// current one.
     bool mayBeStale = false;
 };
 
+/// Answer to a RangeRequest.
 struct RangeAnswer
 {
     std::vector<KeyValue> pairs;
-    Revision revision = 0; ///< Of the store, at the time of the answer.
-    bool hasMore = false;
+    Revision revision = 0; ///< Revision of the store at the time of the answer.
+    bool hasMore = false;  ///< Whether the limit cut off further pairs.
 };
 
+/// Property of a key that a comparison reads.
 enum class CompareTarget {
     Version,
     CreateRevision,
@@ -84,6 +91,7 @@
     Value,
 };
 
+/// Relation that a comparison requires.
 enum class CompareOrder {
     Equal,
     NotEqual,
@@ -91,16 +99,17 @@
     Less,
 };
 
-/// One condition of a transaction. A key that does not exist has version and revisions 0.
+/// One condition of a transaction. A key that does not exist has version 0 and revisions 0.
 struct Compare
 {
     std::string key;
     CompareTarget target = CompareTarget::ModRevision;
     CompareOrder order = CompareOrder::Equal;
-    std::int64_t number = 0; ///< For all targets but Value.
-    std::string value;       ///< For Value.
+    std::int64_t number = 0; ///< Operand of all targets except Value.
+    std::string value;       ///< Operand of the target Value.
 };
 
+/// One write of a transaction: a put, or the deletion of one key.
 struct Operation
 {
     bool isDelete = false;
@@ -109,38 +118,43 @@
     LeaseId lease = 0;
 };
 
-/// All operations in one revision if every comparison holds, else nothing (CasFailed).
+/// A compare-and-swap: applies all operations in one revision if every comparison holds, else applies nothing
+/// (CasFailed).
 struct Transaction
 {
     std::vector<Compare> compares;
     std::vector<Operation> operations;
 };
 
+/// Answer to a put or a transaction.
 struct WriteAnswer
 {
     Revision revision = 0;
 };
 
+/// Answer to a grant, renewal or revocation of a lease.
 struct LeaseAnswer
 {
     LeaseId lease = 0;
-    Duration timeToLive{0}; ///< Zero: the lease is gone.
+    Duration timeToLive{0}; ///< Zero if the lease no longer exists.
 };
 
+/// A watch on one key or on a range of keys, as in RangeRequest.
 struct WatchRequest
 {
     std::string key;
     std::string rangeEnd;
-    Revision startRevision = 0; ///< 0: from now on.
+    Revision startRevision = 0; ///< First revision to report; 0 reports changes from now on.
 };
 
+/// One change of a watched key.
 struct WatchEvent
 {
     bool isDelete = false;
     KeyValue pair;
 };
 
-/// One message of a watch: nothing but the revision when the watch has just been created.
+/// One message of a watch. The message that confirms the creation of the watch contains only the revision.
 struct WatchMessage
 {
     Revision revision = 0;
@@ -149,14 +163,14 @@
 
 using WatchHandler = std::function<void(const WatchMessage &)>;
 
-/// Why a watch ended. `revision` is where the next one starts; 0 when the history before it is gone (compacted), so
-/// that the keys must be read anew.
+/// State of a watch at its end.
 struct WatchEnd
 {
+    /// Start revision of the next watch. It is 0 when the history was compacted, so that the keys must be read again.
     Revision nextRevision = 0;
 };
 
-/// The end of the range of all keys that begin with `prefix`.
+/// Returns the end of the range of all keys that begin with `prefix`.
 inline auto endOfPrefix(std::string prefix) -> std::string
 {
     while (!prefix.empty()) {
--- a/include/stairspur/store/TokenBucket.h
+++ b/include/stairspur/store/TokenBucket.h
@@ -6,7 +6,8 @@
 
 namespace stairspur::store {
 
-/// Limits the rate of calls: a token for each, `perSecond` new ones a second, at most `burst` saved up.
+/// Token bucket that limits the rate of calls. Each call takes a token. `perSecond` tokens are added in each second,
+/// and at most `burst` tokens are saved up.
 class TokenBucket
 {
 public:
@@ -16,7 +17,7 @@
         , m_tokens(burst)
     {}
 
-    /// Takes a token, now or in advance, and says how long to wait until it may be used.
+    /// Takes a token, if necessary in advance, and returns the time until it may be used.
     auto take(TimePoint now) -> Duration
     {
         refill(now);
@@ -26,7 +27,7 @@
         return std::chrono::ceil<Duration>(std::chrono::duration<double>(-m_tokens / m_perSecond));
     }
 
-    /// Takes a token if one is there.
+    /// Takes a token if one is available. Returns whether it did.
     auto tryTake(TimePoint now) -> bool
     {
         refill(now);
--- a/source/store/Base64.cpp
+++ b/source/store/Base64.cpp
@@ -12,7 +12,7 @@
 auto toBase64(std::string_view bytes) -> std::string
 {
     const auto groups = (bytes.size() + BytesPerGroup - 1) / BytesPerGroup;
-    // EVP_EncodeBlock ends its text with a zero, for which std::string has room.
+    // EVP_EncodeBlock writes a terminating zero, for which std::string has room.
     auto text = std::string(groups * DigitsPerGroup, '\0');
     EVP_EncodeBlock(reinterpret_cast<unsigned char *>(text.data()),
                     reinterpret_cast<const unsigned char *>(bytes.data()),
@@ -31,8 +31,8 @@
                                              reinterpret_cast<const unsigned char *>(text.data()),
                                              static_cast<int>(text.size()));
     if (n < 0)
-        throw InputError("the store's answer holds a value that is not base64",
-                         "check which protocol the store at this address speaks");
+        throw InputError("the store's answer contains a value that is not base64",
+                         "check which protocol the store at this address uses");
     const auto padding = text.ends_with("==") ? 2U : text.ends_with('=') ? 1U : 0U;
     bytes.resize(static_cast<std::size_t>(n) - padding);
     return bytes;
--- a/source/store/EtcdCodec.cpp
+++ b/source/store/EtcdCodec.cpp
@@ -130,7 +130,7 @@
     auto json = Json::parse(text, nullptr, false);
     if (!json.is_object())
         throw InputError("the store's answer is not a JSON object",
-                         "check that the store speaks the JSON gateway of etcd v3");
+                         "check that the store offers the JSON gateway of etcd v3");
     return json;
 }
 
@@ -156,7 +156,7 @@
 
 auto decodeLease(const Json &answer) -> LeaseAnswer
 {
-    // The gateway answers a keep-alive as a stream of one, whose message stands in `result`.
+    // The gateway answers a keep-alive with a stream of one message, which the field `result` contains.
     const auto &lease = answer.contains("result") ? answer.at("result") : answer;
     return {number(lease, "ID"), std::chrono::seconds(number(lease, "TTL"))};
 }
--- a/source/store/EtcdCodec.h
+++ b/source/store/EtcdCodec.h
@@ -7,7 +7,8 @@
 
 #include <stairspur/store/StoreTypes.h>
 
-/// Requests and answers of the etcd v3 JSON gateway: bytes in base64, 64-bit numbers as strings, defaults left out.
+/// Encodes requests and decodes answers of the etcd v3 JSON gateway. Bytes are in base64, 64-bit numbers are strings,
+/// and fields with default values are omitted.
 namespace stairspur::store::etcd {
 
 auto encode(const RangeRequest &request) -> std::string;
@@ -17,22 +18,23 @@
 auto encodeLease(LeaseId lease) -> std::string;
 auto encode(const WatchRequest &request) -> std::string;
 
-/// The JSON object in `text`. Throws InputError for anything else.
+/// Returns the JSON object in `text`. Throws InputError if `text` is not a JSON object.
 auto parse(std::string_view text) -> nlohmann::json;
 
-/// These throw InputError, or nlohmann's exceptions, when the answer is not of the gateway's form.
+/// The decode functions throw InputError or an exception of nlohmann::json if the answer does not have the gateway's
+/// form.
 auto decodeRange(const nlohmann::json &answer) -> RangeAnswer;
 auto decodeWrite(const nlohmann::json &answer) -> WriteAnswer;
-/// Whether the comparisons of a transaction held.
+/// Returns whether all comparisons of a transaction held.
 auto didSucceed(const nlohmann::json &answer) -> bool;
 auto decodeLease(const nlohmann::json &answer) -> LeaseAnswer;
 
-/// One line of a watch. `isCancelled` says that the store has ended it; `isCompacted`, that it began too far back.
+/// One decoded line of a watch.
 struct WatchLine
 {
     WatchMessage message;
-    bool isCancelled = false;
-    bool isCompacted = false;
+    bool isCancelled = false; ///< Whether the store has ended the watch.
+    bool isCompacted = false; ///< Whether the history at the start revision was compacted.
 };
 auto decodeWatchLine(const nlohmann::json &line) -> WatchLine;
 
--- a/source/store/EtcdStore.cpp
+++ b/source/store/EtcdStore.cpp
@@ -20,11 +20,11 @@
 auto storeSettingsFromUrl(const std::string &url) -> StoreSettings
 {
     static constexpr auto Scheme = std::string_view("http://");
-    const auto remedy = "write it as http://192.0.2.1:2379, with an IP number and a port";
+    const auto remedy = "write it as http://192.0.2.1:2379, with an IP address and a port";
     auto settings = StoreSettings();
     const auto colon = url.rfind(':');
     if (!url.starts_with(Scheme) || colon == std::string::npos || colon < Scheme.size())
-        throw SettingError("the store's address '" + url + "' is not an http URL with a port",
+        throw SettingError("the store's address '" + url + "' is not an HTTP URL with a port",
                            remedy);
     settings.address = url.substr(Scheme.size(), colon - Scheme.size());
     const auto *end = url.data() + url.size();
@@ -32,7 +32,8 @@
     auto ec = boost::system::error_code();
     asio::ip::make_address(settings.address, ec);
     if (error != std::errc() || stop != end || settings.port == 0 || ec)
-        throw SettingError("the store's address '" + url + "' has no IP number and port", remedy);
+        throw SettingError("the store's address '" + url + "' lacks a valid IP address or port",
+                           remedy);
     return settings;
 }
 
@@ -46,8 +47,8 @@
     return request;
 }
 
-/// A status of 4xx is the store's refusal. A 5xx may come after the write was proposed (gRPC's `unavailable` does not
-/// say), so it is a doubt.
+/// Decodes a response. A 4xx status means that the store rejected the request. A 5xx status gives Unknown, because the
+/// write may have been proposed already (gRPC's `unavailable` does not distinguish this).
 static auto readResponse(const transport::HttpResponse &response) -> StoreAttempt
 {
     static constexpr auto Ok = 200U;
--- a/source/store/StoreCaller.cpp
+++ b/source/store/StoreCaller.cpp
@@ -20,38 +20,39 @@
 using transport::HttpRequest;
 using transport::Task;
 
-/// No caller waits longer than this many timeouts for the rate limit: it is told that the store was not reached.
-static constexpr auto MaxTimeoutsInLine = 4;
+/// Maximum wait for the rate limit, in seconds. A call that would wait longer fails as Unreachable.
+static constexpr auto MaxWaitSeconds = 4;
 
-/// A request that must not be sent twice goes out on a kept connection only if that one has answered so lately.
-static constexpr auto TrustedAge = Duration{500'000};
+/// Maximum age of a kept connection's last answer for a request that must not be sent twice. An older connection
+/// may be dead, and a request that is lost on it must not be retried.
+static constexpr auto MaxAnswerAge = Duration{500'000};
 
-/// The copies of one hedged call.
-struct StoreCaller::Race
+/// State that the copies of one hedged call share.
+struct StoreCaller::HedgedCall
 {
-    explicit Race(asio::io_context &io)
+    explicit HedgedCall(asio::io_context &io)
         : timer(io)
     {}
 
-    /// Waits until the race is decided, but no longer than `time`.
+    /// Waits until the call is finished, but at most for `time`.
     auto wait(Duration time) -> Task<void>
     {
         auto ec = boost::system::error_code();
         timer.expires_after(time);
-        if (!isDecided())
+        if (!isFinished())
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ec));
     }
 
-    /// Whether a copy was answered, or none is left that could be.
-    [[nodiscard]] auto isDecided() const -> bool { return isAnswered() || running == 0; }
+    /// Returns whether a copy was answered or no copy is running.
+    [[nodiscard]] auto isFinished() const -> bool { return isAnswered() || running == 0; }
     [[nodiscard]] auto isAnswered() const -> bool { return result.httpStatus != 0; }
 
     transport::Timer timer;
-    transport::CancellationPtr kept = std::make_shared<transport::Cancellation>();
-    transport::CancellationPtr fresh = std::make_shared<transport::Cancellation>();
-    std::uint32_t running = 0;
-    StoreAttempt result;           ///< The answer, or the latest failure.
-    bool hasFreshAnswered = false; ///< The copy on the fresh connection brought it.
+    transport::CancellationPtr keptCancellation = std::make_shared<transport::Cancellation>();
+    transport::CancellationPtr freshCancellation = std::make_shared<transport::Cancellation>();
+    std::uint32_t running = 0;    ///< Number of copies without an outcome.
+    StoreAttempt result;          ///< The answer, or the latest failure.
+    bool isFromFreshCopy = false; ///< Whether the fresh copy answered while the other one ran.
 };
 
 StoreCaller::StoreCaller(asio::io_context &io, StoreSettings settings, ReadFunction read,
@@ -66,14 +67,15 @@
     , m_random(seed)
 {}
 
-/// Whether a second copy of a call does no harm, and its answer serves as well.
+/// Returns whether a second copy of a call is harmless and its answer is equivalent.
 static auto isRepeatable(StoreCall kind) -> bool
 {
     return kind == StoreCall::Range || kind == StoreCall::LeaseKeepAlive;
 }
 
-/// A write whose answer was lost may have been applied: whoever wrote must read before it writes again.
-static auto isWorthAnother(StoreCall kind, StoreStatus status) -> bool
+/// Returns whether a call with this outcome may be sent again. A write without an answer may have been applied, so the
+/// writer must read before it writes again.
+static auto isRetryable(StoreCall kind, StoreStatus status) -> bool
 {
     if (status == StoreStatus::Unreachable)
         return true;
@@ -94,7 +96,7 @@
         attempt = isRepeatable(kind)
                           ? co_await callHedged(kind, request)
                           : co_await callOnce(kind, request, m_settings.timeout, nullptr);
-        if (!isWorthAnother(kind, attempt.status))
+        if (!isRetryable(kind, attempt.status))
             break;
     }
     co_return attempt;
@@ -105,60 +107,62 @@
 {
     const auto self = shared_from_this();
     auto attempt =
-            co_await tryOnce(std::move(request), timeout, std::move(cancellation), TrustedAge);
-    didEnd(kind, attempt);
+            co_await sendOnce(std::move(request), timeout, std::move(cancellation), MaxAnswerAge);
+    recordAttempt(kind, attempt);
     co_return attempt;
 }
 
 auto StoreCaller::callHedged(StoreCall kind, HttpRequest request) -> Task<StoreAttempt>
 {
     const auto self = shared_from_this();
-    const auto race = std::make_shared<Race>(m_io);
+    const auto hedged = std::make_shared<HedgedCall>(m_io);
     const auto begin = monotonicNow();
-    ++race->running;
-    asio::co_spawn(m_io, enterRace(race, request, transport::HttpClient::AnyAge), asio::detached);
-    co_await race->wait(m_hedgeDelay.value());
-    if (!race->isDecided() && co_await waitForRateLimit() && !race->isDecided()) {
-        ++race->running;
-        asio::co_spawn(m_io, enterRace(race, std::move(request), Duration::zero()), asio::detached);
+    ++hedged->running;
+    asio::co_spawn(m_io, sendCopy(hedged, request, transport::HttpClient::AnyAge), asio::detached);
+    co_await hedged->wait(m_hedgeDelay.value());
+    if (!hedged->isFinished() && co_await waitForRateLimit() && !hedged->isFinished()) {
+        ++hedged->running;
+        asio::co_spawn(m_io, sendCopy(hedged, std::move(request), Duration::zero()),
+                       asio::detached);
     }
-    co_await race->wait(2 * m_settings.timeout); // Each copy ends by itself before that.
-    race->kept->cancel();
-    race->fresh->cancel();
-    auto &result = race->result;
-    if (race->hasFreshAnswered) {
+    co_await hedged->wait(2 * m_settings.timeout); // Each copy times out before that.
+    hedged->keptCancellation->cancel();
+    hedged->freshCancellation->cancel();
+    auto &result = hedged->result;
+    if (hedged->isFromFreshCopy) {
         result.hasFoundSilentConnection = true;
         m_client.closeUnusedSince(begin);
         log::Line(log::Severity::Info, "store-connection-silent")
                 .add("call", kind)
                 .add("silent_ms", toMilliseconds(monotonicNow() - begin));
     }
-    didEnd(kind, result);
+    recordAttempt(kind, result);
     co_return std::move(result);
 }
 
-auto StoreCaller::enterRace(std::shared_ptr<Race> race, HttpRequest request, Duration maxAge)
+auto StoreCaller::sendCopy(std::shared_ptr<HedgedCall> hedged, HttpRequest request, Duration maxAge)
         -> Task<void>
 {
     const auto self = shared_from_this();
     const auto isFresh = maxAge == Duration::zero();
     const auto begin = monotonicNow();
-    auto attempt = co_await tryOnce(std::move(request), m_settings.timeout,
-                                    isFresh ? race->fresh : race->kept, maxAge);
-    --race->running;
-    if (race->isAnswered())
+    auto attempt = co_await sendOnce(std::move(request), m_settings.timeout,
+                                     isFresh ? hedged->freshCancellation : hedged->keptCancellation,
+                                     maxAge);
+    --hedged->running;
+    if (hedged->isAnswered())
         co_return;
-    race->result = std::move(attempt);
-    if (race->isAnswered()) {
-        race->hasFreshAnswered = isFresh && race->running > 0;
+    hedged->result = std::move(attempt);
+    if (hedged->isAnswered()) {
+        hedged->isFromFreshCopy = isFresh && hedged->running > 0;
         m_hedgeDelay.didReceiveAnswer(monotonicNow() - begin);
     }
-    if (race->isDecided())
-        race->timer.cancel();
+    if (hedged->isFinished())
+        hedged->timer.cancel();
 }
 
-auto StoreCaller::tryOnce(HttpRequest request, Duration timeout,
-                          transport::CancellationPtr cancellation, Duration maxAge)
+auto StoreCaller::sendOnce(HttpRequest request, Duration timeout,
+                           transport::CancellationPtr cancellation, Duration maxAge)
         -> Task<StoreAttempt>
 {
     try {
@@ -176,15 +180,15 @@
 
 auto StoreCaller::waitForRateLimit() -> Task<bool>
 {
-    if (m_inLine > m_settings.callsPerSecond * MaxTimeoutsInLine)
+    if (m_waitingCalls > m_settings.callsPerSecond * MaxWaitSeconds)
         co_return false;
     const auto wait = m_bucket.take(monotonicNow());
     if (wait == Duration{0})
         co_return true;
     ++m_counters.delayed;
-    ++m_inLine;
+    ++m_waitingCalls;
     co_await sleep(wait);
-    --m_inLine;
+    --m_waitingCalls;
     co_return true;
 }
 
@@ -194,7 +198,7 @@
     co_await timer.async_wait(asio::use_awaitable);
 }
 
-auto StoreCaller::didEnd(StoreCall kind, const StoreAttempt &attempt) -> void
+auto StoreCaller::recordAttempt(StoreCall kind, const StoreAttempt &attempt) -> void
 {
     count(kind, attempt.status);
     if (attempt.status == StoreStatus::Ok)
--- a/source/store/WatchStream.cpp
+++ b/source/store/WatchStream.cpp
@@ -23,7 +23,7 @@
 static constexpr auto HttpVersion = 11;
 static constexpr auto ReadBytes = std::size_t{16U << 10U};
 
-/// The connection of one watch. Shared with the cancellation, which may outlive it.
+/// Connection of one watch. The cancellation shares it and may outlive the watch.
 class WatchStream
 {
 public:
@@ -38,6 +38,7 @@
         m_parser.body_limit(boost::none);
     }
 
+    /// Opens the watch and reads its messages until it ends.
     auto run() -> Task<StoreResult<WatchEnd>>
     {
         const auto ec = co_await open();
@@ -49,6 +50,7 @@
         co_return co_await readMessages();
     }
 
+    /// Ends the watch. No message is handled afterwards.
     auto close() -> void
     {
         m_isClosed = true;
@@ -56,6 +58,7 @@
     }
 
 private:
+    /// Connects, sends the request and reads the header of the response.
     auto open() -> Task<beast::error_code>
     {
         auto ec = beast::error_code();
@@ -100,7 +103,7 @@
         co_return end(StoreStatus::Ok, "the store closed the watch");
     }
 
-    /// Hands on every whole line and keeps the rest; false: the watch is over.
+    /// Handles and removes all complete lines of `text`. Returns false if the watch has ended.
     auto handleLines(std::string &text) -> bool
     {
         auto begin = std::size_t{0};
@@ -118,6 +121,7 @@
         return isOpen && !m_isClosed;
     }
 
+    /// Calls the handler with the message of one line. Returns false if the watch has ended.
     auto handleLine(std::string_view text) -> bool
     {
         auto line = etcd::WatchLine();
@@ -129,7 +133,8 @@
         }
         if (line.isCancelled) {
             m_nextRevision = line.isCompacted ? 0 : m_nextRevision;
-            m_endReason = line.isCompacted ? "the history was compacted" : "the store cancelled it";
+            m_endReason = line.isCompacted ? "the history was compacted"
+                                           : "the store cancelled the watch";
             return false;
         }
         if (line.message.revision > 0)
--- a/source/store/WatchStream.h
+++ b/source/store/WatchStream.h
@@ -11,8 +11,9 @@
 
 namespace stairspur::store {
 
-/// Opens one watch and hands on its messages until it ends: the store closes it, it falls silent or is cancelled.
-/// The unary client waits for whole answers; a watch's answer has no end, so its chunks are read here with Beast.
+/// Opens one watch and calls `handler` with each message until the store closes the watch, its idle timeout passes or
+/// it is cancelled. transport::HttpClient waits for complete responses. The response to a watch has no end, so this
+/// function reads its chunks with Beast.
 auto readWatch(transport::asio::io_context &io, const StoreSettings &settings, WatchRequest request,
                WatchHandler handler, transport::CancellationPtr cancellation)
         -> transport::Task<StoreResult<WatchEnd>>;
--- a/tests/store/TestStoreContract.cpp
+++ b/tests/store/TestStoreContract.cpp
@@ -14,7 +14,7 @@
 // After Boost, whose headers its macros break.
 #include <criterion/criterion.h>
 
-/// The client and the stand-in against each other, on one io_context and loopback.
+/// Tests the client against the stand-in store. Both run on one io_context and connect over loopback.
 using namespace stairspur;
 using namespace stairspur::store;
 using standin::FaultMode;
@@ -22,21 +22,21 @@
 
 static_assert(PlatformStore<EtcdStore>);
 
-struct Bench
+struct StoreFixture
 {
     boost::asio::io_context io{1};
     std::shared_ptr<standin::StoreServer> server =
             std::make_shared<standin::StoreServer>(io, std::uint16_t{0}, std::uint16_t{0});
     EtcdStore store;
 
-    explicit Bench(Duration timeout = std::chrono::seconds(10))
+    explicit StoreFixture(Duration timeout = std::chrono::seconds(10))
         : store(io, settings(timeout), 1)
     {
         server->start();
     }
-    Bench(const Bench &) = delete;
-    auto operator=(const Bench &) -> Bench & = delete;
-    ~Bench() { server->stop(); }
+    StoreFixture(const StoreFixture &) = delete;
+    auto operator=(const StoreFixture &) -> StoreFixture & = delete;
+    ~StoreFixture() { server->stop(); }
 
     [[nodiscard]] auto settings(Duration timeout) const -> StoreSettings
     {
@@ -83,9 +83,9 @@
     return transaction;
 }
 
-Test(StoreContract, bytesSurviveWhateverTheyAre)
+Test(StoreContract, valuesOfArbitraryBytesAreStoredUnchanged)
 {
-    auto bench = Bench();
+    auto fixture = StoreFixture();
     const auto cases = {std::string(),
                         std::string("a"),
                         std::string("ab"),
@@ -93,29 +93,30 @@
                         std::string("\0\xff\n\"", 4),
                         std::string(100'000, 'x')};
     for (const auto &it : cases) {
-        cr_assert(bench.put("key", it) == StoreStatus::Ok);
-        cr_assert(bench.valueOf("key") == it, "%zu bytes changed on the way", it.size());
+        cr_assert(fixture.put("key", it) == StoreStatus::Ok);
+        cr_assert(fixture.valueOf("key") == it, "a value of %zu bytes was changed", it.size());
     }
 }
 
 Test(StoreContract, revisionsCountAsInEtcd)
 {
-    auto bench = Bench();
-    bench.put("/a", "1");
-    bench.put("/b", "1");
-    bench.put("/a", "2");
-    const auto answer = bench.wait(bench.store.range({.key = "/", .rangeEnd = endOfPrefix("/")}));
+    auto fixture = StoreFixture();
+    fixture.put("/a", "1");
+    fixture.put("/b", "1");
+    fixture.put("/a", "2");
+    const auto answer =
+            fixture.wait(fixture.store.range({.key = "/", .rangeEnd = endOfPrefix("/")}));
     cr_assert_eq(answer.value.pairs.size(), 2);
     const auto &a = answer.value.pairs[0];
     cr_assert_eq(a.version, 2);
     cr_assert_eq(a.modRevision, a.createRevision + 2);
     cr_assert_eq(answer.value.revision, a.modRevision);
-    const auto page =
-            bench.wait(bench.store.range({.key = "/", .rangeEnd = endOfPrefix("/"), .limit = 1}));
+    const auto page = fixture.wait(
+            fixture.store.range({.key = "/", .rangeEnd = endOfPrefix("/"), .limit = 1}));
     cr_assert(page.value.hasMore && page.value.pairs.size() == 1);
 }
 
-Test(StoreContract, comparisonsDecide)
+Test(StoreContract, transactionsApplyOnlyIfTheirComparisonsHold)
 {
     struct Case
     {
@@ -125,9 +126,9 @@
         const char *value;
         bool holds;
     };
-    auto bench = Bench();
-    bench.put("key", "b");
-    const auto pair = bench.wait(bench.store.range({.key = "key"})).value.pairs.at(0);
+    auto fixture = StoreFixture();
+    fixture.put("key", "b");
+    const auto pair = fixture.wait(fixture.store.range({.key = "key"})).value.pairs.at(0);
     const Case cases[] = {
             {CompareTarget::Version, CompareOrder::Equal, 1, "", true},
             {CompareTarget::Version, CompareOrder::Equal, 0, "", false},
@@ -142,19 +143,19 @@
         auto transaction = Transaction();
         transaction.compares.push_back({"key", it.target, it.order, it.number, it.value});
         transaction.operations.push_back({.key = "other", .value = "x"});
-        const auto status = bench.wait(bench.store.txn(transaction)).status;
+        const auto status = fixture.wait(fixture.store.txn(transaction)).status;
         cr_assert(status == (it.holds ? StoreStatus::Ok : StoreStatus::CasFailed));
     }
 }
 
-Test(StoreContract, eachFaultHasItsStatus)
+Test(StoreContract, eachFaultGivesItsStatus)
 {
     struct Case
     {
         FaultMode mode;
         StoreStatus status;
         bool isApplied;
-        std::uint64_t sent; ///< How often the write may reach the store.
+        std::uint64_t sent; ///< Number of times that the write reaches the store.
     };
     const Case cases[] = {
             {FaultMode::Ok, StoreStatus::Ok, true, 1},
@@ -166,93 +167,94 @@
     };
     for (const auto &it : cases) {
         const auto isUnanswered = it.mode == FaultMode::Hang || it.mode == FaultMode::Slow;
-        auto bench =
-                Bench(isUnanswered ? std::chrono::milliseconds(200) : std::chrono::seconds(10));
-        cr_assert_eq(bench.valueOf("key"), "(none)"); // Opens the connection that will be kept.
-        bench.server->setFault({it.mode, 400, 0, "txn"});
-        const auto status = bench.wait(bench.store.txn(createOnce("key", "v"))).status;
+        auto fixture = StoreFixture(isUnanswered ? std::chrono::milliseconds(200)
+                                                 : std::chrono::seconds(10));
+        cr_assert_eq(fixture.valueOf("key"),
+                     "(none)"); // Opens the connection that the client keeps.
+        fixture.server->setFault({it.mode, 400, 0, "txn"});
+        const auto status = fixture.wait(fixture.store.txn(createOnce("key", "v"))).status;
         cr_assert(status == it.status, "%s gave %s", nameOf(it.mode).data(), nameOf(status).data());
-        cr_assert_eq(bench.count("txn"), it.sent);
-        bench.server->setFault({});
+        cr_assert_eq(fixture.count("txn"), it.sent);
+        fixture.server->setFault({});
         if (it.mode == FaultMode::Slow)
-            while (bench.server->state().revision() == 1)
-                bench.io.run_one();
-        cr_assert_eq(bench.valueOf("key"), it.isApplied ? "v" : "(none)");
+            while (fixture.server->state().revision() == 1)
+                fixture.io.run_one();
+        cr_assert_eq(fixture.valueOf("key"), it.isApplied ? "v" : "(none)");
     }
 }
 
-Test(StoreContract, readsAreSentAgainAndWritesInDoubtAreNot)
+Test(StoreContract, readsAreRetriedAndUnansweredWritesAreNot)
 {
-    auto bench = Bench();
-    bench.server->setFault({FaultMode::LostAnswer, 0, 2, "range"});
-    cr_assert(bench.wait(bench.store.range({.key = "key"})).isOk());
-    cr_assert_eq(bench.count("range"), 3);
-    cr_assert_eq(bench.store.counters().count(StoreCall::Range, StoreStatus::Unknown), 2);
-    cr_assert_eq(bench.store.counters().count(StoreCall::Range, StoreStatus::Ok), 1);
-    bench.server->setFault({FaultMode::LostAnswer, 0, 1, "put"});
-    cr_assert(bench.put("key", "v") == StoreStatus::Unknown);
-    cr_assert_eq(bench.count("put"), 1);
+    auto fixture = StoreFixture();
+    fixture.server->setFault({FaultMode::LostAnswer, 0, 2, "range"});
+    cr_assert(fixture.wait(fixture.store.range({.key = "key"})).isOk());
+    cr_assert_eq(fixture.count("range"), 3);
+    cr_assert_eq(fixture.store.counters().count(StoreCall::Range, StoreStatus::Unknown), 2);
+    cr_assert_eq(fixture.store.counters().count(StoreCall::Range, StoreStatus::Ok), 1);
+    fixture.server->setFault({FaultMode::LostAnswer, 0, 1, "put"});
+    cr_assert(fixture.put("key", "v") == StoreStatus::Unknown);
+    cr_assert_eq(fixture.count("put"), 1);
 }
 
 Test(StoreContract, tooLargeValuesAreRejected)
 {
-    auto bench = Bench();
-    cr_assert(bench.put("key", std::string(1'000'001, 'x')) == StoreStatus::Rejected);
+    auto fixture = StoreFixture();
+    cr_assert(fixture.put("key", std::string(1'000'001, 'x')) == StoreStatus::Rejected);
 }
 
-Test(StoreContract, leasesEndWithTheirKeys)
+Test(StoreContract, keysAreDeletedWhenTheirLeaseEnds)
 {
-    auto bench = Bench();
-    const auto lease = bench.wait(bench.store.grantLease(std::chrono::seconds(5)));
+    auto fixture = StoreFixture();
+    const auto lease = fixture.wait(fixture.store.grantLease(std::chrono::seconds(5)));
     cr_assert(lease.isOk() && lease.value.timeToLive == std::chrono::seconds(5));
-    cr_assert(bench.wait(bench.store.put("key", "v", lease.value.lease)).isOk());
-    const auto kept = bench.wait(bench.store.keepLeaseAlive(lease.value.lease));
+    cr_assert(fixture.wait(fixture.store.put("key", "v", lease.value.lease)).isOk());
+    const auto kept = fixture.wait(fixture.store.keepLeaseAlive(lease.value.lease));
     cr_assert(kept.isOk() && kept.value.timeToLive == std::chrono::seconds(5));
-    bench.server->setFault({FaultMode::LapseLeases, 0, 0, ""});
-    cr_assert_eq(bench.valueOf("key"), "(none)");
-    const auto gone = bench.wait(bench.store.keepLeaseAlive(lease.value.lease));
+    fixture.server->setFault({FaultMode::LapseLeases, 0, 0, ""});
+    cr_assert_eq(fixture.valueOf("key"), "(none)");
+    const auto gone = fixture.wait(fixture.store.keepLeaseAlive(lease.value.lease));
     cr_assert(gone.isOk() && gone.value.timeToLive == Duration{0});
-    cr_assert(bench.wait(bench.store.revokeLease(lease.value.lease)).status
+    cr_assert(fixture.wait(fixture.store.revokeLease(lease.value.lease)).status
               == StoreStatus::Rejected);
 }
 
-Test(StoreContract, aWatchTellsEveryChangeFromItsRevisionOn)
+Test(StoreContract, aWatchReportsEveryChangeFromItsStartRevision)
 {
-    auto bench = Bench();
-    bench.put("key", "1");
-    const auto start = bench.server->state().revision();
+    auto fixture = StoreFixture();
+    fixture.put("key", "1");
+    const auto start = fixture.server->state().revision();
     auto seen = std::string();
     auto end = std::optional<StoreResult<WatchEnd>>();
-    auto task = bench.store.watch(
+    auto task = fixture.store.watch(
             {.key = "key", .startRevision = start},
             [&](const WatchMessage &message) {
                 for (const auto &it : message.events)
                     seen += it.pair.value;
             },
             nullptr);
-    boost::asio::co_spawn(bench.io, std::move(task),
+    boost::asio::co_spawn(fixture.io, std::move(task),
                           [&](std::exception_ptr, auto value) { end = value; });
-    bench.put("other", "x");
-    bench.put("key", "2");
+    fixture.put("other", "x");
+    fixture.put("key", "2");
     while (seen.size() < 2)
-        bench.io.run_one();
-    bench.server->setFault({FaultMode::BreakWatch, 0, 0, ""});
+        fixture.io.run_one();
+    fixture.server->setFault({FaultMode::BreakWatch, 0, 0, ""});
     while (!end)
-        bench.io.run_one();
+        fixture.io.run_one();
     cr_assert_eq(seen, "12");
-    cr_assert_eq(end->value.nextRevision, bench.server->state().revision() + 1);
+    cr_assert_eq(end->value.nextRevision, fixture.server->state().revision() + 1);
 }
 
 Test(StoreContract, aCancelledWatchEnds)
 {
-    auto bench = Bench();
+    auto fixture = StoreFixture();
     const auto cancellation = std::make_shared<transport::Cancellation>();
     auto handler = [&](const WatchMessage &) { cancellation->cancel(); };
-    const auto end = bench.wait(bench.store.watch({.key = "key"}, handler, cancellation));
+    const auto end = fixture.wait(fixture.store.watch({.key = "key"}, handler, cancellation));
     cr_assert(end.isOk());
 }
 
-Test(StoreSettings, urlsAreChecked)
+Test(StoreSettings, malformedUrlsAreRejected)
 {
     const auto settings = storeSettingsFromUrl("http://192.0.2.7:2379");
     cr_assert_eq(settings.address, "192.0.2.7");
--- a/tests/store/TestStoreLimits.cpp
+++ b/tests/store/TestStoreLimits.cpp
@@ -11,7 +11,7 @@
 
 static constexpr auto Start = TimePoint{Duration{1'000'000}};
 
-Test(TokenBucket, callsBeyondTheBurstWaitTheirTurn)
+Test(TokenBucket, callsBeyondTheBurstWait)
 {
     auto bucket = TokenBucket(5, 2);
     const Duration waits[] = {0ms, 0ms, 200ms, 400ms};
@@ -44,7 +44,7 @@
     cr_assert(!state.handle("range", {{"key", key}}, Start + 3s).contains("kvs"));
 }
 
-Test(StoreState, aTransactionIsWholeOrNothing)
+Test(StoreState, transactionsAreAtomic)
 {
     auto state = standin::StoreState();
     const auto key = standin::encodeBase64("key");
--- a/tests/store/WaitFor.h
+++ b/tests/store/WaitFor.h
@@ -11,7 +11,7 @@
 
 namespace stairspur::store {
 
-/// Runs a coroutine to its end on this thread and returns its value. What it throws is thrown on.
+/// Runs a coroutine to its end on this thread and returns its value. Rethrows an exception of the coroutine.
 template <typename Value>
 auto waitFor(boost::asio::io_context &io, transport::Task<Value> task) -> Value
 {
