--- a/tests/store/TestStoreContract.cpp
+++ b/tests/store/TestStoreContract.cpp
@@ -11,7 +11,7 @@
 #include "WaitFor.h"
 #include "standins/store/StoreServer.h"
 
-// After Boost, whose headers its macros break.
+// Included after Boost, because Criterion's macros break Boost's headers.
 #include <criterion/criterion.h>
 
 /// Tests the client against the stand-in store. Both run on one io_context and connect over loopback.
