--- a/tests/platform/TestSilentStore.cpp
+++ b/tests/platform/TestSilentStore.cpp
@@ -77,7 +77,7 @@
     const auto found = bench.wait(bench.store.range({.key = "/k"}));
     cr_assert(found.isOk(), "%s", found.detail.c_str());
     cr_assert_eq(found.value.pairs.size(), 1);
-    cr_assert(found.hasFoundSilence);
+    cr_assert(found.hasFoundSilentConnection);
     cr_assert_eq(bench.relay.accepted(), 4);
 }
 
@@ -87,11 +87,11 @@
     bench.server.put("/k", "v");
     bench.keepConnections(3);
     bench.relay.silenceOpen();
-    cr_assert(bench.wait(bench.store.range({.key = "/k"})).hasFoundSilence);
+    cr_assert(bench.wait(bench.store.range({.key = "/k"})).hasFoundSilentConnection);
     for (auto n = 0; n < 3; ++n) {
         const auto found = bench.wait(bench.store.range({.key = "/k"}));
         cr_assert(found.isOk());
-        cr_assert_not(found.hasFoundSilence);
+        cr_assert_not(found.hasFoundSilentConnection);
     }
     cr_assert_eq(bench.relay.accepted(), 4);
 }
@@ -112,20 +112,20 @@
     const auto before = bench.server.calls();
     const auto found = bench.wait(bench.store.range({.key = "/k"}));
     cr_assert(found.isOk());
-    cr_assert_not(found.hasFoundSilence);
+    cr_assert_not(found.hasFoundSilentConnection);
     cr_assert_eq(bench.server.calls(), before + 1);
 }
 
 Test(HedgeDelay, followsTheLatestAnswerWithinItsBounds)
 {
     auto delay = HedgeDelay();
-    cr_expect(delay.value() == HedgeDelay::Shortest);
-    delay.didAnswer(std::chrono::milliseconds(4));
-    cr_expect(delay.value() == HedgeDelay::Shortest);
-    delay.didAnswer(std::chrono::milliseconds(240));
+    cr_expect(delay.value() == HedgeDelay::MinDelay);
+    delay.didReceiveAnswer(std::chrono::milliseconds(4));
+    cr_expect(delay.value() == HedgeDelay::MinDelay);
+    delay.didReceiveAnswer(std::chrono::milliseconds(240));
     cr_expect(delay.value() == std::chrono::milliseconds(480));
-    delay.didAnswer(std::chrono::seconds(30));
-    cr_expect(delay.value() == HedgeDelay::Longest);
-    delay.didAnswer(std::chrono::milliseconds(4));
-    cr_expect(delay.value() == HedgeDelay::Shortest);
+    delay.didReceiveAnswer(std::chrono::seconds(30));
+    cr_expect(delay.value() == HedgeDelay::MaxDelay);
+    delay.didReceiveAnswer(std::chrono::milliseconds(4));
+    cr_expect(delay.value() == HedgeDelay::MinDelay);
 }
