--- a/include/stairspur/config/ConfigurationAssembler.h
+++ b/include/stairspur/config/ConfigurationAssembler.h
@@ -11,18 +11,18 @@
 
 namespace stairspur::config {
 
-/// Puts a configuration together from sections and takes changes of a few of them, so that a change costs the reading
-/// of what it touches and not of the whole.
+/// Builds a configuration from its sections. Single sections can be replaced, so that the cost of a change depends on
+/// the changed sections and not on the size of the configuration.
 class ConfigurationAssembler
 {
 public:
-    /// Takes new and changed sections and forgets those named in `removed`. Throws SectionError, and then nothing has
-    /// changed.
+    /// Adds new and changed sections and removes those named in `removed`. Throws SectionError; the assembler is
+    /// unchanged then.
     auto update(const Sections &changed, const std::vector<std::string> &removed = {}) -> void;
 
-    /// The configuration of the present sections. Its order depends on the sections alone. Throws SectionError when one
-    /// that every configuration has is missing. References between sections are not checked again: only checked files
-    /// are published.
+    /// Returns the configuration of the current sections. Its order depends on the sections alone. Throws SectionError
+    /// when a section that every configuration has is missing. References between sections aren't checked again, since
+    /// only checked files are published.
     [[nodiscard]] auto assemble() const -> Configuration;
 
 private:
--- a/include/stairspur/config/ConfigurationIndex.h
+++ b/include/stairspur/config/ConfigurationIndex.h
@@ -11,8 +11,8 @@
 
 namespace stairspur::config {
 
-/// Lookups in one configuration that cost the same whatever its size. Built once for each configuration in force and
-/// shared by the traffic threads, since Configuration itself searches from front to back.
+/// Lookups in one configuration in constant time. The index is built once for each configuration in force and shared
+/// by the traffic threads, since Configuration itself searches linearly.
 class ConfigurationIndex
 {
 public:
@@ -20,7 +20,7 @@
 
     [[nodiscard]] auto configuration() const -> const ConfigurationPtr & { return m_configuration; }
 
-    /// What the index was built from, without its version.
+    /// Returns the indexed configuration without its version.
     [[nodiscard]] auto whole() const -> const Configuration &
     {
         return m_configuration->configuration;
@@ -31,11 +31,11 @@
     [[nodiscard]] auto findCaller(std::string_view name) const -> const Caller *;
     [[nodiscard]] auto findCallerByKeyHash(std::string_view keySha256) const -> const Caller *;
 
-    /// The route of `host` with the longest prefix that `path` begins with; nothing when none fits.
+    /// Returns the route of `host` with the longest prefix that `path` begins with, or null when none matches.
     [[nodiscard]] auto findRoute(std::string_view host, std::string_view path) const
             -> const Route *;
 
-    /// As Configuration::deeperServices, worked out beforehand. Empty for an unknown service.
+    /// Returns the precomputed result of Configuration::deeperServices(). Empty for an unknown service.
     [[nodiscard]] auto deeperServices(std::string_view service, ClassRank rank) const
             -> const std::vector<std::string> &;
 
@@ -45,7 +45,7 @@
         auto operator()(std::string_view text) const -> std::size_t { return hash64(text); }
     };
 
-    /// Keys are parts of the configuration, which the index keeps alive.
+    /// The keys refer to strings of the configuration, which the index owns a share of.
     template <typename Value>
     using Map = std::unordered_map<std::string_view, Value, Hasher>;
 
@@ -59,10 +59,10 @@
     ConfigurationPtr m_configuration;
     Map<const Service *> m_services;
     Map<const PriorityClass *> m_classes;
-    Map<const Caller *> m_callers; ///< By the SHA-256 of each key.
+    Map<const Caller *> m_callers; ///< By the SHA-256 of each of their keys.
     Map<const Caller *> m_callersByName;
     Map<DeeperByRank> m_deeper;
-    Map<std::vector<const Route *>> m_routes; ///< By host; the longest prefixes first.
+    Map<std::vector<const Route *>> m_routes; ///< By host, the longest prefixes first.
 };
 
 } // namespace stairspur::config
--- a/include/stairspur/config/ConfigurationReader.h
+++ b/include/stairspur/config/ConfigurationReader.h
@@ -10,20 +10,20 @@
 /// Reads the operators' TOML file; docs/operations/configuration.md describes it.
 namespace stairspur::config {
 
-/// What a file says, and everything that is wrong with it.
+/// The configuration in a file, with all faults of the file.
 struct CheckedConfiguration
 {
-    Configuration configuration;   ///< Whole only when nothing was found.
+    Configuration configuration;   ///< Complete only when there are no findings.
     std::vector<Finding> findings; ///< In the order of the file.
 
     [[nodiscard]] auto isUsable() const -> bool { return findings.empty(); }
 };
 
-/// Reads and checks `text` and collects every fault. After a fault in the TOML syntax nothing else can be checked, so
-/// that it is the only finding. `file` is named in the findings; it is not opened.
+/// Reads and checks `text` and collects every fault. A fault in the TOML syntax is the only finding, since nothing else
+/// can be checked after it. `file` is the name that the findings show; the file itself isn't opened.
 auto checkConfiguration(std::string_view text, const std::string &file) -> CheckedConfiguration;
 
-/// The same for a caller that needs a usable configuration. Throws ConfigurationError with every finding.
+/// Reads and checks `text` and returns its configuration. Throws ConfigurationError with all findings if there are any.
 auto readConfiguration(std::string_view text, const std::string &file) -> Configuration;
 
 } // namespace stairspur::config
--- a/include/stairspur/config/Names.h
+++ b/include/stairspur/config/Names.h
@@ -5,12 +5,12 @@
 /// Names of failure domains, classes, services, call paths and callers.
 namespace stairspur::config {
 
-/// What a name must be like, for remedies.
+/// The rule for names, as remedies of findings show it.
 inline constexpr auto NameRemedy =
         std::string_view("use 1 to 63 of a-z, 0-9, '-', '_' and '.', the first no '.'");
 
-/// Whether `text` may be a name. A name fits into keys of the store, section names and idempotency keys, all of which
-/// give '/' a meaning.
+/// Returns whether `text` is a valid name. Names are parts of keys of the store, section names and idempotency keys, in
+/// all of which '/' is a separator.
 constexpr auto isName(std::string_view text) -> bool
 {
     constexpr auto MaxLength = std::size_t{63};
