--- a/include/stairspur/config/Configuration.h
+++ b/include/stairspur/config/Configuration.h
@@ -71,7 +71,7 @@
     /// 64 lower-case hexadecimal digits. Empty when the caller has no key; then no call is accepted under its name.
     std::string keySha256;
     std::vector<std::string> classes; ///< A call without a class gets the first one.
-    std::string homeDomain;           ///< Domain of its keyed calls; empty: chosen by hash.
+    std::string homeDomain;           ///< Home of its keyed calls; empty: chosen by hash.
     std::vector<std::string> furtherKeySha256{}; ///< Keys that are valid beside the first one.
     std::optional<RequestQuota> quota{};         ///< None: the caller's rate is not limited.
 };
--- a/include/stairspur/config/Sections.h
+++ b/include/stairspur/config/Sections.h
@@ -9,9 +9,9 @@
 
 /// Splits a configuration into small named sections, for the store and for the differences between two versions.
 ///
-/// Each service has its own section; callers, call paths and routes are spread over a fixed number of buckets, so that a
-/// change of one of them changes one small section. The bytes depend on the meaning alone: the order in the file matters
-/// only for the classes, the classes of a caller, the services of a call path and the targets of a route.
+/// Each service has its own section; callers, call paths and routes are spread over a fixed number of buckets, so that
+/// changing one of them changes one small section. The bytes depend on the meaning alone. An order in the file matters
+/// only for the classes, a caller's classes and further keys, a call path's services and a route's targets.
 namespace stairspur::config {
 
 /// Bytes (CBOR) by section name: "classes", "domains", "retry", "service/order-intake", "callers/3", "paths/41",
--- a/source/config/CallGraph.cpp
+++ b/source/config/CallGraph.cpp
@@ -7,10 +7,10 @@
 
 auto CallGraph::addCall(const std::string &from, const std::string &to) -> std::vector<std::string>
 {
-    const auto known = m_callees.find(from);
-    if (known != m_callees.end() && known->second.contains(to))
+    const auto callees = m_callees.find(from);
+    if (callees != m_callees.end() && callees->second.contains(to))
         return {};
-    auto cycle = findWay(to, from);
+    auto cycle = findCallChain(to, from);
     if (!cycle.empty()) {
         cycle.push_back(to);
         return cycle;
@@ -19,7 +19,7 @@
     return {};
 }
 
-auto CallGraph::findWay(const std::string &from, const std::string &to) const
+auto CallGraph::findCallChain(const std::string &from, const std::string &to) const
         -> std::vector<std::string>
 {
     auto callers = std::map<std::string, std::string>{{from, std::string()}};
@@ -37,11 +37,11 @@
     }
     if (!callers.contains(to))
         return {};
-    auto way = std::vector<std::string>();
+    auto chain = std::vector<std::string>();
     for (auto it = to; !it.empty(); it = callers.at(it))
-        way.push_back(it);
-    std::ranges::reverse(way);
-    return way;
+        chain.push_back(it);
+    std::ranges::reverse(chain);
+    return chain;
 }
 
 } // namespace stairspur::config
--- a/source/config/CallGraph.h
+++ b/source/config/CallGraph.h
@@ -7,17 +7,17 @@
 
 namespace stairspur::config {
 
-/// Which service calls which, over all call paths. Stays free of cycles.
+/// The calls between services, over all call paths. The graph never has a cycle.
 class CallGraph
 {
 public:
-    /// Adds a call. When it would close a cycle it is left out, and the services of the cycle are returned in order,
-    /// the first one again at the end; else nothing.
+    /// Adds a call and returns an empty list. A call that would close a cycle isn't added; the services of the cycle
+    /// are returned in call order, with the first one again at the end.
     auto addCall(const std::string &from, const std::string &to) -> std::vector<std::string>;
 
 private:
-    /// The services on a way from `from` to `to`, both included; empty when there is none.
-    [[nodiscard]] auto findWay(const std::string &from, const std::string &to) const
+    /// Returns the services on a chain of calls from `from` to `to`, both included; empty when there is none.
+    [[nodiscard]] auto findCallChain(const std::string &from, const std::string &to) const
             -> std::vector<std::string>;
 
     std::map<std::string, std::set<std::string>> m_callees;
--- a/source/config/Configuration.cpp
+++ b/source/config/Configuration.cpp
@@ -25,11 +25,11 @@
 {
     if (keySha256.empty())
         return nullptr;
-    const auto holds = [keySha256](const Caller &it) {
+    const auto hasKey = [keySha256](const Caller &it) {
         return it.keySha256 == keySha256
                || std::ranges::find(it.furtherKeySha256, keySha256) != it.furtherKeySha256.end();
     };
-    const auto it = std::ranges::find_if(callers, holds);
+    const auto it = std::ranges::find_if(callers, hasKey);
     return it == callers.end() ? nullptr : &*it;
 }
 
--- a/source/config/ConfigurationAssembler.cpp
+++ b/source/config/ConfigurationAssembler.cpp
@@ -13,14 +13,14 @@
             "pull the sections again, or apply the file again with this version"};
 }
 
-/// Reads one section and says in its error which one could not be read.
+/// Reads one section. Throws SectionError with the section's name when it can't be read.
 template <typename Value>
 static auto readSection(std::string_view section, std::string_view bytes) -> Value
 {
     try {
         return fromCbor(bytes).get<Value>();
     } catch (const nlohmann::json::exception &) {
-        throw makeError(section, "does not hold what its name says");
+        throw makeError(section, "does not have the content that its name requires");
     } catch (const InputError &) {
         throw makeError(section, "is not CBOR");
     }
@@ -34,7 +34,7 @@
     auto items = readSection<std::vector<Item>>(section, bytes);
     for (const auto &it : items) {
         if (bucketOf(it.name) != bucket)
-            throw makeError(section, "holds an item of another one");
+            throw makeError(section, "contains an item of another section");
     }
     return items;
 }
@@ -43,7 +43,7 @@
 {
     auto service = readSection<Service>(section, bytes);
     if (service.name != section.substr(ServicePrefix.size()))
-        throw makeError(section, "holds another service");
+        throw makeError(section, "contains another service");
     return service;
 }
 
@@ -51,7 +51,7 @@
 {
     const auto names = readSection<std::vector<std::string>>(ClassesSection, bytes);
     if (names.size() > std::size_t{MaxClassRank} + 1)
-        throw makeError(ClassesSection, "holds too many classes");
+        throw makeError(ClassesSection, "contains too many classes");
     auto classes = std::vector<PriorityClass>();
     classes.reserve(names.size());
     for (const auto &it : names)
--- a/source/config/ConfigurationFileReader.cpp
+++ b/source/config/ConfigurationFileReader.cpp
@@ -6,8 +6,8 @@
 
 using namespace std::chrono_literals;
 
-// Bounds keep a slip of the pen (a missing unit, a zero too many) from going into force, and the sections of a
-// configuration within what the platform's store holds in one value.
+// The limits reject typing errors (a missing unit, an extra zero) and keep each section within the largest value that
+// the platform's store accepts.
 static constexpr auto MaxDomains = std::size_t{256};
 static constexpr auto MaxClasses = std::size_t{MaxClassRank} + 1;
 static constexpr auto MaxServices = std::size_t{4096};
@@ -79,13 +79,14 @@
 {
     if (names.contains(name.text))
         return true;
-    auto known = std::set<std::string, std::less<>>();
+    auto definedNames = std::set<std::string, std::less<>>();
     for (const auto &it : names)
-        known.insert(it.first);
+        definedNames.insert(it.first);
     m_findings.add(name.position,
                    std::string(key) + " of " + table.title() + " names the unknown "
                            + quoted(name.text),
-                   known.empty() ? "define it first" : "define it or use one of " + listed(known));
+                   definedNames.empty() ? "define it first"
+                                        : "define it or use one of " + listed(definedNames));
     return false;
 }
 
@@ -208,10 +209,10 @@
         const auto cycle = m_callGraph.addCall(services[index - 1].text, services[index].text);
         if (cycle.empty())
             continue;
-        auto way = cycle.front();
+        auto chain = cycle.front();
         for (auto it = cycle.begin() + 1; it != cycle.end(); ++it)
-            way += " -> " + *it;
-        m_findings.add(services[index].position, path.title() + " closes the cycle " + way,
+            chain += " -> " + *it;
+        m_findings.add(services[index].position, path.title() + " closes the cycle " + chain,
                        "take one of these calls out of its call path");
     }
 }
@@ -238,7 +239,7 @@
     }
 }
 
-/// A key tells who calls: it can belong to one caller only.
+/// Reports a key that another caller has too. A key identifies the caller, so it can belong to only one.
 auto ConfigurationFileReader::checkNewKey(const TableReader &caller, const std::string &key,
                                           toml::source_position position, Names &keys) -> void
 {
@@ -289,7 +290,7 @@
 
 auto ConfigurationFileReader::readKey(TableReader &caller) -> std::string
 {
-    const auto key = caller.neededText("key-sha256", KeyRemedy);
+    const auto key = caller.requiredText("key-sha256", KeyRemedy);
     return key && checkKey(caller, "key-sha256", *key) ? key->text : std::string();
 }
 
@@ -298,7 +299,7 @@
 {
     if (key.text.size() == Sha256Digits && std::ranges::all_of(key.text, isLowerHexDigit))
         return true;
-    // The text is not shown: it may be the key itself.
+    // The finding doesn't show the text, since it may be the key itself.
     m_findings.add(key.position, std::string(name) + " of " + caller.title() + " is no SHA-256",
                    KeyRemedy);
     return false;
--- a/source/config/ConfigurationFileReader.h
+++ b/source/config/ConfigurationFileReader.h
@@ -15,7 +15,7 @@
 
 namespace stairspur::config {
 
-/// Turns a parsed file into a configuration: first what other tables refer to, then call paths and callers.
+/// Converts a parsed file to a configuration. Tables that others refer to are read before call paths and callers.
 class ConfigurationFileReader
 {
 public:
@@ -24,7 +24,7 @@
     auto read() -> Configuration;
 
 private:
-    /// Names of one kind of thing, with the line that defined each.
+    /// Names of the tables of one kind, with the line that defines each.
     using Names = std::map<std::string, std::uint32_t, std::less<>>;
 
     auto readDomains() -> void;
@@ -43,16 +43,16 @@
     auto readQuota(TableReader &caller) -> std::optional<RequestQuota>;
     auto readHomeDomain(TableReader &caller) -> std::string;
 
-    /// Reads the name of a table and reports it when another one of `names` has it.
+    /// Reads the name of a table and adds it to `names`. Reports a finding when it is already there.
     auto readNewName(TableReader &table, Names &names) -> std::string;
-    /// Reads an array of names that must all be in `names`, none of them twice.
+    /// Reads an array of different names, all of which must be in `names`.
     auto readReferences(TableReader &table, std::string_view key, const Names &names)
             -> std::vector<LocatedText>;
     auto checkReference(const LocatedText &name, const TableReader &table, std::string_view key,
                         const Names &names) -> bool;
     auto checkPath(const TableReader &path, const std::vector<LocatedText> &services) -> void;
 
-    /// The tables `[[key]]`, reported when there are fewer than `least` or more than `most` of them.
+    /// Returns the tables `[[key]]`. Reports a finding when their number is outside `count`.
     auto readTables(std::string_view key, Range<std::size_t> count)
             -> std::vector<const toml::table *>;
 
--- a/source/config/ConfigurationIndex.cpp
+++ b/source/config/ConfigurationIndex.cpp
@@ -59,8 +59,8 @@
     const auto it = m_routes.find(host);
     if (it == m_routes.end())
         return nullptr;
-    const auto fits = [path](const Route *route) { return path.starts_with(route->pathPrefix); };
-    const auto found = std::ranges::find_if(it->second, fits);
+    const auto matches = [path](const Route *route) { return path.starts_with(route->pathPrefix); };
+    const auto found = std::ranges::find_if(it->second, matches);
     return found == it->second.end() ? nullptr : *found;
 }
 
--- a/source/config/ConfigurationReader.cpp
+++ b/source/config/ConfigurationReader.cpp
@@ -4,7 +4,7 @@
 
 namespace stairspur::config {
 
-/// Bounds the memory that reading a file can take.
+/// Limits the memory that reading a file can take.
 static constexpr auto MaxFileBytes = std::size_t{64} << 20U;
 
 static auto parse(std::string_view text, FindingList &findings) -> std::optional<toml::table>
--- a/source/config/FindingList.h
+++ b/source/config/FindingList.h
@@ -9,7 +9,7 @@
 
 namespace stairspur::config {
 
-/// Collects what is wrong with one file.
+/// Collects the findings of one file.
 class FindingList
 {
 public:
@@ -20,7 +20,7 @@
     auto add(const toml::source_position &position, std::string problem, std::string remedy)
             -> void;
 
-    /// Everything collected, in the order of the file.
+    /// Returns all collected findings, in the order of the file, and removes them from the list.
     [[nodiscard]] auto take() -> std::vector<Finding>;
 
 private:
--- a/source/config/Quantities.cpp
+++ b/source/config/Quantities.cpp
@@ -13,15 +13,15 @@
     std::uint64_t factor;
 };
 
-/// In microseconds, smallest first.
+/// Factors in microseconds, smallest unit first.
 static constexpr auto DurationUnits = std::array<Unit, 5>{
         {{"us", 1}, {"ms", 1'000}, {"s", 1'000'000}, {"m", 60'000'000}, {"h", 3'600'000'000}}};
 
-/// In bytes, smallest first.
+/// Factors in bytes, smallest unit first.
 static constexpr auto SizeUnits =
         std::array<Unit, 4>{{{"B", 1}, {"KiB", 1U << 10U}, {"MiB", 1U << 20U}, {"GiB", 1U << 30U}}};
 
-/// A bound that both a signed and an unsigned result can hold.
+/// Greatest value that fits into both a signed and an unsigned result.
 static constexpr auto MaxQuantity =
         static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
 
--- a/source/config/SectionCodec.cpp
+++ b/source/config/SectionCodec.cpp
@@ -83,7 +83,7 @@
             {"keySha256", caller.keySha256},
             {"classes", caller.classes},
             {"homeDomain", caller.homeDomain}};
-    // Left out where they are not used, so that the hashes of older files stay what they are.
+    // Unused keys are left out, so that the hashes of older files don't change.
     if (!caller.furtherKeySha256.empty())
         json["furtherKeySha256"] = caller.furtherKeySha256;
     if (caller.quota)
@@ -107,7 +107,7 @@
     json = {{"extraAttempts", retry.extraAttempts},
             {"successShare", retry.successShare},
             {"bucketSize", retry.bucketSize}};
-    // Left out where they are not used, so that the hashes of older files stay what they are.
+    // Unused keys are left out, so that the hashes of older files don't change.
     if (retry.requestShare > 0)
         json["requestShare"] = retry.requestShare;
     if (retry.fleetBucketSize > 0)
--- a/source/config/SectionCodec.h
+++ b/source/config/SectionCodec.h
@@ -4,8 +4,8 @@
 
 #include <stairspur/config/Configuration.h>
 
-/// How the parts of a configuration stand in CBOR. Durations are whole microseconds, sizes bytes. These functions are
-/// what nlohmann/json looks for by name. Reading throws nlohmann::json::exception on a missing key or a wrong type.
+/// Encodes the parts of a configuration in CBOR. Durations are whole microseconds, sizes are bytes. nlohmann/json finds
+/// these functions by their names. Reading throws nlohmann::json::exception on a missing key or a wrong type.
 namespace stairspur::config {
 
 auto to_json(nlohmann::json &json, const FailureDomain &domain) -> void;
--- a/source/config/SectionNames.h
+++ b/source/config/SectionNames.h
@@ -18,7 +18,7 @@
 inline constexpr auto RoutesPrefix = std::string_view("routes/");
 inline constexpr auto IngressSection = std::string_view("ingress");
 
-/// The bucket of a caller or a call path, as the name of its section ends.
+/// Returns the bucket of a caller, a call path or a route, which is the last part of its section's name.
 inline auto bucketOf(std::string_view name) -> std::string
 {
     return std::to_string(hash64(name) % SectionBuckets);
--- a/source/config/Sections.cpp
+++ b/source/config/Sections.cpp
@@ -18,7 +18,7 @@
     return items;
 }
 
-/// Spreads items over the sections `prefix`0 to `prefix`63; in each they stand in the order of their names.
+/// Spreads items over the sections `prefix`0 to `prefix`63 and sorts them by name in each.
 template <typename Item>
 static auto addBuckets(Sections &sections, std::string_view prefix, std::vector<Item> items) -> void
 {
@@ -38,7 +38,7 @@
     return names;
 }
 
-/// A path's classes are a set: their order in the file says nothing.
+/// Sorts the classes of each path, since their order in the file has no meaning.
 static auto withSortedClasses(std::vector<CallPath> paths) -> std::vector<CallPath>
 {
     for (auto &it : paths)
@@ -79,7 +79,7 @@
 
 auto hashOfHashes(const SectionHashes &hashes) -> std::string
 {
-    // Names hold no line break, and hashes are of one length, so that two lists never give the same text.
+    // Names have no line breaks and all hashes have the same length, so that different lists never give the same text.
     auto text = std::string();
     for (const auto &[name, hash] : hashes)
         text.append(name).append("\n").append(hash).append("\n");
--- a/source/config/TableReader.cpp
+++ b/source/config/TableReader.cpp
@@ -70,7 +70,7 @@
 
 auto TableReader::name() -> LocatedText
 {
-    auto result = neededText("name", "add name = \"...\"");
+    auto result = requiredText("name", "add name = \"...\"");
     if (!result)
         return {};
     if (!isName(result->text)) {
@@ -94,7 +94,7 @@
     return LocatedText{node->as_string()->get(), node->source().begin};
 }
 
-auto TableReader::neededText(std::string_view key, const std::string &remedy)
+auto TableReader::requiredText(std::string_view key, const std::string &remedy)
         -> std::optional<LocatedText>
 {
     if (!find(key))
@@ -150,7 +150,7 @@
     }
     const auto value = node->is_integer() ? static_cast<double>(node->as_integer()->get())
                                           : node->as_floating_point()->get();
-    // Written so that NaN, which TOML allows, is out of range too.
+    // The negated condition makes NaN, which TOML allows, out of range too.
     if (!(value >= range.least && value <= range.greatest)) {
         addOutOfRange(*node, key, numberText(range.least), numberText(range.greatest));
         return std::nullopt;
@@ -238,16 +238,16 @@
 auto TableReader::finish() -> void
 {
     for (const auto &[key, node] : m_table) {
-        if (m_known.contains(key.str()))
+        if (m_readKeys.contains(key.str()))
             continue;
         m_findings.add(key.source().begin, m_title + " has an unknown key " + quoted(key.str()),
-                       "remove it or use one of " + listed(m_known));
+                       "remove it or use one of " + listed(m_readKeys));
     }
 }
 
 auto TableReader::find(std::string_view key) -> const toml::node *
 {
-    m_known.emplace(key);
+    m_readKeys.emplace(key);
     return m_table.get(key);
 }
 
--- a/source/config/TableReader.h
+++ b/source/config/TableReader.h
@@ -14,7 +14,7 @@
 
 namespace stairspur::config {
 
-/// A value's least and greatest allowed value, both included.
+/// The least and the greatest allowed value, both included.
 template <typename Value>
 struct Range
 {
@@ -22,37 +22,38 @@
     Value greatest;
 };
 
-/// A text and where it stands.
+/// A text with its position in the file.
 struct LocatedText
 {
     std::string text;
     toml::source_position position;
 };
 
-/// Reads the keys of one TOML table. A value of the wrong type or out of range becomes a finding and reads as missing;
-/// finish() then reports the keys that nobody asked for.
+/// Reads the keys of one TOML table. A value of the wrong type or out of range is reported as a finding and treated as
+/// missing. finish() then reports the keys that weren't read.
 class TableReader
 {
 public:
     /// `title` names the table in findings, such as `service`.
     TableReader(const toml::table &table, std::string title, FindingList &findings);
 
-    /// Where the table begins.
+    /// Returns the position at which the table begins.
     [[nodiscard]] auto position() const -> toml::source_position;
 
-    /// How findings name this table: its title, with its name once that was read.
+    /// Returns the title of this table in findings, followed by its name after name() read one.
     [[nodiscard]] auto title() const -> const std::string & { return m_title; }
 
-    /// The needed key `name`, checked for its characters. Empty upon a finding.
+    /// Reads the required key `name` and checks that it is a valid name. Empty after a finding.
     auto name() -> LocatedText;
 
-    /// A string; missing keys read as nothing.
+    /// Reads a string; nothing when the key is missing.
     auto text(std::string_view key) -> std::optional<LocatedText>;
 
-    /// A string that must be there.
-    auto neededText(std::string_view key, const std::string &remedy) -> std::optional<LocatedText>;
+    /// Reads a string and reports a finding when the key is missing.
+    auto requiredText(std::string_view key, const std::string &remedy)
+            -> std::optional<LocatedText>;
 
-    /// An array of strings; a missing key reads as an empty one.
+    /// Reads an array of strings; empty when the key is missing.
     auto texts(std::string_view key) -> std::vector<LocatedText>;
 
     auto integer(std::string_view key, Range<std::uint32_t> range) -> std::optional<std::uint32_t>;
@@ -61,19 +62,19 @@
     auto duration(std::string_view key, Range<Duration> range) -> std::optional<Duration>;
     auto size(std::string_view key, Range<std::uint32_t> range) -> std::optional<std::uint32_t>;
 
-    /// A table below this one; null when it is missing.
+    /// Returns a table inside this one; null when it is missing.
     auto table(std::string_view key) -> const toml::table *;
 
-    /// An array of tables, written `[[key]]`; empty when it is missing.
+    /// Returns the tables of an array of tables, written `[[key]]`; empty when it is missing.
     auto tables(std::string_view key) -> std::vector<const toml::table *>;
 
-    /// Where the value of `key` stands, or the table when it has none.
+    /// Returns the position of the value of `key`, or that of the table when the key is missing.
     [[nodiscard]] auto positionOf(std::string_view key) const -> toml::source_position;
 
-    /// Whether `key` is missing or an empty array.
+    /// Returns whether `key` is missing or an empty array.
     [[nodiscard]] auto isMissingOrEmpty(std::string_view key) const -> bool;
 
-    /// Reports every key that was not asked for.
+    /// Reports every key that wasn't read.
     auto finish() -> void;
 
 private:
@@ -86,13 +87,13 @@
     const toml::table &m_table;
     std::string m_title;
     FindingList &m_findings;
-    std::set<std::string, std::less<>> m_known;
+    std::set<std::string, std::less<>> m_readKeys;
 };
 
-/// `text` in double quotes, with control characters escaped, as findings show names.
+/// Returns `text` in double quotes, with control characters escaped, as findings show names.
 auto quoted(std::string_view text) -> std::string;
 
-/// `names` with commas between them, the first ones only when there are many.
+/// Returns `names` with commas between them; of more than 12 names only the first 12.
 auto listed(const std::set<std::string, std::less<>> &names) -> std::string;
 
 } // namespace stairspur::config
--- a/tests/config/ConfigurationTexts.h
+++ b/tests/config/ConfigurationTexts.h
@@ -8,13 +8,13 @@
 
 #include <stairspur/core/Hash.h>
 
-/// Files that the tests of this module share.
+/// Configuration files that the tests of this module share.
 namespace stairspur::config {
 
 inline const auto smallFileWithoutService = std::string("[[failure-domains]]\nname = \"d\"\n"
                                                         "[[classes]]\nname = \"c\"\n");
 
-/// Six lines: the domain `d`, the class `c` and the service `a`, last.
+/// Six lines with the domain `d`, the class `c` and, as the last table, the service `a`.
 inline const auto smallFile = smallFileWithoutService + "[[services]]\nname = \"a\"\n";
 
 inline auto callerText(const std::string &name, const std::string &key) -> std::string
@@ -23,7 +23,7 @@
            + "\"\nclasses = [\"c\"]\n";
 }
 
-/// The text of a file of the repository. It is looked for upwards from the test program, which stands in the build folder.
+/// Returns the text of a file of the repository, searched for upwards from the test program in the build folder.
 inline auto readRepositoryFile(const std::string &name) -> std::string
 {
     auto folder = std::filesystem::read_symlink("/proc/self/exe").parent_path();
@@ -31,7 +31,7 @@
         folder = folder.parent_path();
     auto file = std::ifstream(folder / name);
     if (!file)
-        throw std::runtime_error("no file " + name + " above the test program");
+        throw std::runtime_error("found no file " + name + " above the test program");
     auto text = std::ostringstream();
     text << file.rdbuf();
     return text.str();
--- a/tests/config/TestConfiguration.cpp
+++ b/tests/config/TestConfiguration.cpp
@@ -22,7 +22,7 @@
             VersionedConfiguration{1, "hash", makeConfiguration()}));
 }
 
-Test(ConfigurationIndex, findsWhatTheConfigurationFinds)
+Test(ConfigurationIndex, findsSameItemsAsConfiguration)
 {
     const auto index = makeIndex();
     cr_assert_eq(index.findService("b")->name, "b");
@@ -47,7 +47,7 @@
     cr_assert_null(configuration.findCallerByKeyHash("012"));
 }
 
-Test(Configuration, deeperServicesAreThoseBelowOnThePathsOfTheClass)
+Test(Configuration, deeperServicesFollowServiceOnPathsOfClass)
 {
     struct
     {
--- a/tests/config/TestConfigurationReader.cpp
+++ b/tests/config/TestConfigurationReader.cpp
@@ -14,7 +14,7 @@
 {
     const char *name;
     std::string text;
-    std::vector<std::string> findings; ///< Each as printed.
+    std::vector<std::string> findings; ///< Each finding as it is printed.
 };
 
 static auto assertFindings(const FaultCase &it) -> void
@@ -29,8 +29,8 @@
     cr_assert_eq(printed, wanted, "%s:\n%swanted:\n%s", it.name, printed.c_str(), wanted.c_str());
 }
 
-/// A build with sanitizers ends here unless source/config/Toml.h mends the library.
-Test(ConfigurationReader, lettersBeyondAsciiOutsideStringsAreOneFinding)
+/// Guards the workaround of source/config/Toml.h. Without it a build with sanitizers aborts here.
+Test(ConfigurationReader, nonAsciiLettersOutsideStringsAreOneFinding)
 {
     static constexpr const char *cases[] = {"bucket-\u017e = 1", "name = 0\"u\u017een",
                                             "\u3010 = 1",        "\ufefd = 1",
@@ -42,34 +42,36 @@
     cr_assert(checkConfiguration(smallFile + "# \u017e, \u3010\n", "f").isUsable());
 }
 
-Test(ConfigurationReader, syntaxFaultsHaveTheirPlaceAndRemedy)
+Test(ConfigurationReader, syntaxFaultsHavePositionAndRemedy)
 {
     const auto remedy = std::string("; correct the TOML syntax (https://toml.io/en/v1.0.0)");
     const FaultCase cases[] = {
             {"no value",
              "a = \n",
              {"f:1:5: Error while parsing key-value pair: expected value, saw '\\n'" + remedy}},
-            {"a key twice",
+            {"a duplicate key",
              "[retry]\nbucket-size = 1\nbucket-size = 2\n",
              {"f:3:15: Error while parsing key-value pair: cannot redefine existing integer "
               "'bucket-size'"
               + remedy}},
-            {"a table twice",
+            {"a duplicate table",
              "[retry]\n[retry]\n",
              {"f:2:1: Error while parsing table header: cannot redefine existing table 'retry'"
               + remedy}},
-            {"an open string",
+            {"an unterminated string",
              "a = \"x\n",
              {"f:1:7: Error while parsing string: unescaped control characters other than TAB "
               "(U+0009) are explicitly prohibited"
               + remedy}},
-            {"no UTF-8", "a = \"\xff\"\n", {"f:1:5: Encountered invalid utf-8 sequence" + remedy}},
+            {"invalid UTF-8",
+             "a = \"\xff\"\n",
+             {"f:1:5: Encountered invalid utf-8 sequence" + remedy}},
     };
     for (const auto &it : cases)
         assertFindings(it);
 }
 
-Test(ConfigurationReader, everyFaultIsFoundWithItsPlaceAndRemedy)
+Test(ConfigurationReader, everyFaultIsFoundWithPositionAndRemedy)
 {
     const FaultCase cases[] = {
             {"an empty file",
@@ -92,13 +94,13 @@
               "f:8:16: key-lifetime of service \"a\" cannot be read; give a duration such as "
               "\"250ms\" or \"2s\"",
               "f:9:10: limits of service \"a\" cannot be read; give a table"}},
-            {"tables that are none",
+            {"wrong types and ranges in retry",
              smallFile
                      + "[retry]\nextra-attempts = 2.5\nsuccess-share = \"a\"\nbucket-size = nan\n",
              {"f:8:18: extra-attempts of retry cannot be read; give a whole number",
               "f:9:17: success-share of retry cannot be read; give a number",
               "f:10:15: bucket-size of retry is out of range; give a value from 1 to 10000"}},
-            {"services that are no tables",
+            {"services that aren't tables",
              "services = 1\ncall-paths = [1]\n" + smallFileWithoutService,
              {"f:1:12: services of the file cannot be read; give an array of tables, written "
               "[[services]]",
@@ -107,13 +109,13 @@
             {"a service without a name",
              smallFile + "[[services]]\n",
              {"f:7:1: service has no name; add name = \"...\""}},
-            {"names that are none",
+            {"invalid names",
              smallFile + "[[services]]\nname = \"B/c\"\n[[classes]]\nname = \"\"\n",
              {"f:8:8: \"B/c\" is no name; use 1 to 63 of a-z, 0-9, '-', '_' and '.', the first no "
               "'.'",
               "f:10:8: \"\" is no name; use 1 to 63 of a-z, 0-9, '-', '_' and '.', the first no "
               "'.'"}},
-            {"a service twice",
+            {"a duplicate service",
              smallFile + "[[services]]\nname = \"a\"\n",
              {"f:8:8: service \"a\" stands twice, first in line 6; rename or remove one of the "
               "two"}},
@@ -137,7 +139,7 @@
              smallFile + "limits = { max-request = \"64\" }\n",
              {"f:7:26: max-request of limits of service \"a\" cannot be read; give a size such as "
               "\"64KiB\" or \"8MiB\""}},
-            {"a default beyond the maximum",
+            {"a default timeout above the maximum",
              smallFile + "limits = { max-timeout = \"1s\" }\n",
              {"f:7:10: default-timeout of limits of service \"a\" is longer than max-timeout; "
               "lower default-timeout or raise max-timeout"}},
@@ -161,7 +163,7 @@
              smallFile + "[[call-paths]]\nname = \"p\"\nservices = []\n",
              {"f:9:12: call path \"p\" has no services; list the services in the order of their "
               "calls"}},
-            {"a service twice in a path",
+            {"a duplicate service in a path",
              smallFile + "[[call-paths]]\nname = \"p\"\nservices = [\"a\", \"a\"]\n",
              {"f:9:18: services of call path \"p\" names \"a\" twice; remove one of the two"}},
             {"a cycle over three paths",
@@ -172,13 +174,13 @@
                        "[[call-paths]]\nname = \"r\"\nservices = [\"d\", \"a\"]\n",
              {"f:19:18: call path \"r\" closes the cycle a -> b -> d -> a; take one of these calls "
               "out of its call path"}},
-            {"a caller without anything",
+            {"a caller without a key and classes",
              smallFile + "[[callers]]\nname = \"k\"\n",
              {"f:7:1: caller \"k\" has no key-sha256; give the 64 lower-case hexadecimal digits of "
               "printf %s KEY | sha256sum",
               "f:7:1: caller \"k\" has no class; list the classes that it may use, its usual one "
               "first"}},
-            {"a caller whose key stands in the clear, which isn't shown",
+            {"a caller with a plain-text key, which the finding doesn't show",
              smallFile
                      + "[[callers]]\nname = \"k\"\nkey-sha256 = \"secret\"\nclasses = [\"c\"]\n"
                        "home-domain = \"x\"\n",
@@ -195,7 +197,7 @@
         assertFindings(it);
 }
 
-Test(ConfigurationReader, classesAreBoundedByTheirRanks)
+Test(ConfigurationReader, numberOfClassesIsLimited)
 {
     auto text = smallFile;
     for (auto n = 1; n <= MaxClassRank; ++n)
@@ -230,7 +232,7 @@
     cr_assert_eq(read.retry.bucketSize, 10.0);
 }
 
-Test(ConfigurationReader, anErrorHoldsEveryFinding)
+Test(ConfigurationReader, errorHasEveryFinding)
 {
     try {
         readConfiguration("", "empty.toml");
@@ -241,7 +243,7 @@
     }
 }
 
-Test(ConfigurationReader, aCallerMayHaveSeveralKeysAndAQuota)
+Test(ConfigurationReader, callerMayHaveSeveralKeysAndQuota)
 {
     const auto hash = [](const std::string &key) { return sha256Hex(key); };
     const auto text = smallFile + "[[callers]]\nname = \"k\"\nkey-sha256 = \"" + hash("a")
--- a/tests/config/TestExamples.cpp
+++ b/tests/config/TestExamples.cpp
@@ -12,11 +12,11 @@
 {
     const char *file;
     std::vector<std::string> domains;
-    std::vector<std::string> keyedServices; ///< Those that are not idempotent.
+    std::vector<std::string> keyedServices; ///< Services that aren't idempotent.
     const char *entered;
     const char *enteredClass;
     std::vector<std::string> deeper;
-    const char *key; ///< Named in a comment of the file.
+    const char *key; ///< Given in a comment of the file.
     const char *caller;
 };
 
@@ -39,7 +39,7 @@
          "dispatcher"},
 };
 
-Test(Examples, areUsableAndSayWhatTheirUsersNeed)
+Test(Examples, areUsableWithExpectedContent)
 {
     for (const auto &it : examples) {
         const auto read = readConfiguration(readRepositoryFile(it.file), it.file);
@@ -58,7 +58,7 @@
     }
 }
 
-Test(Examples, holdTheHashesOfTheKeysThatTheyName)
+Test(Examples, haveHashesOfKeysInTheirComments)
 {
     for (const auto &it : examples) {
         const auto text = readRepositoryFile(it.file);
--- a/tests/config/TestQuantities.cpp
+++ b/tests/config/TestQuantities.cpp
@@ -6,7 +6,7 @@
 using namespace stairspur::config;
 using namespace std::chrono_literals;
 
-Test(Quantities, durationsAreReadAndWritten)
+Test(Quantities, durationsAreParsedAndFormatted)
 {
     struct
     {
@@ -22,7 +22,7 @@
     }
 }
 
-Test(Quantities, sizesAreReadAndWritten)
+Test(Quantities, sizesAreParsedAndFormatted)
 {
     struct
     {
@@ -39,7 +39,7 @@
     }
 }
 
-Test(Quantities, anythingElseIsRefused)
+Test(Quantities, otherTextsAreRejected)
 {
     for (const auto *it : {"", "5", "s", "-1s", "+1s", "1.5s", "1 s", " 1s", "1s ", "1S", "1d",
                            "9223372036854775808us", "2562047789h"})
--- a/tests/config/TestSections.cpp
+++ b/tests/config/TestSections.cpp
@@ -18,7 +18,7 @@
     return readConfiguration(readRepositoryFile("examples/association.toml"), "association.toml");
 }
 
-/// The names of sections that differ between two configurations.
+/// Returns the names of sections that differ between two configurations.
 static auto changedSections(const Configuration &a, const Configuration &b)
         -> std::vector<std::string>
 {
@@ -37,7 +37,7 @@
     return changed;
 }
 
-Test(Sections, joiningWhatWasSplitGivesTheSameMeaning)
+Test(Sections, splitAndJoinKeepMeaning)
 {
     const auto original = readAssociation();
     const auto sections = splitIntoSections(original);
@@ -60,7 +60,7 @@
     cr_assert_eq(joined.retry.extraAttempts, 3);
 }
 
-Test(Sections, onlyOrdersThatMeanSomethingCount)
+Test(Sections, onlyMeaningfulOrderChangesBytes)
 {
     const auto original = readAssociation();
     auto reversed = original;
@@ -76,7 +76,7 @@
     cr_assert(changedSections(original, otherClasses) == std::vector<std::string>{"classes"});
 }
 
-Test(Sections, aChangeTouchesOneSection)
+Test(Sections, changeAffectsOneSection)
 {
     const auto original = readAssociation();
     auto service = original;
@@ -95,7 +95,7 @@
         cr_assert_eq(changedSections(original, it).size(), 1);
 }
 
-/// The size that the design is for: 520 services and thousands of callers.
+/// Returns a configuration of the size that the system is designed for: 520 services and thousands of callers.
 static auto makeLarge() -> Configuration
 {
     static constexpr auto Services = 520;
@@ -117,7 +117,7 @@
     return result;
 }
 
-Test(Sections, aChangeMovesLittleOfALargeConfiguration)
+Test(Sections, changeAffectsOneSmallSectionOfLargeConfiguration)
 {
     static constexpr auto MaxSectionBytes = std::size_t{64} << 10U;
     const auto original = makeLarge();
@@ -136,8 +136,8 @@
         cr_assert_eq(changedSections(original, it).size(), 1);
 }
 
-/// The hash is what hosts of any version agree on: a change of it is a change of the protocol.
-Test(Sections, theHashOfASmallFileStaysWhatItIs)
+/// Hosts of all versions must compute the same hash, so a change of it is a change of the protocol.
+Test(Sections, hashOfSmallFileIsStable)
 {
     const auto sections = splitIntoSections(readConfiguration(smallFile, "f"));
     cr_assert_eq(hashOf(sections), hashOfHashes(hashesOf(sections)));
@@ -146,20 +146,20 @@
                  hashOf(sections).c_str());
 }
 
-Test(Sections, whatIsNoConfigurationIsRefused)
+Test(Sections, invalidSectionsAreRejected)
 {
     const auto whole = splitIntoSections(readAssociation());
     struct
     {
         const char *name;
         const char *section;
-        std::optional<std::string> bytes; ///< Nothing takes the section away.
+        std::optional<std::string> bytes; ///< Nothing: the section is removed.
     } cases[] = {
             {"no classes", "classes", std::nullopt},
             {"no domains", "domains", std::nullopt},
             {"no retry", "retry", std::nullopt},
             {"an unknown section", "limits", toCbor(1)},
-            {"no CBOR", "classes", "\xff"},
+            {"invalid CBOR", "classes", "\xff"},
             {"an empty section", "retry", ""},
             {"another type", "domains", toCbor(nlohmann::json::array({1}))},
             {"a key is missing", "service/order-intake", toCbor({{"name", "order-intake"}})},
@@ -179,7 +179,7 @@
     }
 }
 
-Test(ConfigurationAssembler, changesOfAFewSectionsGiveTheSameAsTheWhole)
+Test(ConfigurationAssembler, changesOfFewSectionsGiveSameResultAsAll)
 {
     const auto before = readAssociation();
     auto after = before;
@@ -208,7 +208,7 @@
     cr_assert(splitIntoSections(assembler.assemble()) == wanted);
 }
 
-Test(ConfigurationAssembler, aRefusedChangeChangesNothing)
+Test(ConfigurationAssembler, rejectedChangeHasNoEffect)
 {
     const auto whole = splitIntoSections(readAssociation());
     auto assembler = ConfigurationAssembler();
--- a/tests/fuzz/configuration/main.cpp
+++ b/tests/fuzz/configuration/main.cpp
@@ -1,4 +1,4 @@
-// The operators' TOML file, and what a usable one becomes: sections and back.
+// Fuzzes the reader of the operators' TOML file, and the conversion of a usable file to sections and back.
 #include <cstddef>
 #include <cstdint>
 #include <string_view>
@@ -14,7 +14,7 @@
             config::checkConfiguration({reinterpret_cast<const char *>(data), size}, "fuzz.toml");
     if (!checked.isUsable())
         return 0;
-    // A file without findings has a place in the store.
+    // Every configuration without findings must keep its sections after they are joined and split again.
     const auto sections = config::splitIntoSections(checked.configuration);
     if (config::splitIntoSections(config::joinSections(sections)) != sections)
         __builtin_trap();
