--- a/include/stairspur/config/Configuration.h
+++ b/include/stairspur/config/Configuration.h
@@ -33,8 +33,8 @@
     /// Slots per upstream; 0 means the number of slots that the backend server reports.
     std::uint32_t maxConcurrency = 0;
     std::uint32_t maxQueue = 256;       ///< Calls that may wait at one gate.
-    Duration defaultTimeout{2'000'000}; ///< For calls without a timeout.
-    Duration maxTimeout{30'000'000};    ///< Upper bound of a call's timeout.
+    Duration defaultTimeout{2'000'000}; ///< Timeout of calls that set none.
+    Duration maxTimeout{30'000'000};    ///< Longer timeouts are reduced to it.
     std::uint32_t maxRequestBytes = 1U << 20U;
     std::uint32_t maxAnswerBytes = 8U << 20U;
 };
@@ -71,17 +71,18 @@
     /// 64 lower-case hexadecimal digits. Empty when the caller has no key; then no call is accepted under its name.
     std::string keySha256;
     std::vector<std::string> classes; ///< A call without a class gets the first one.
-    std::string homeDomain;           ///< Home of its keyed calls; empty: chosen by hash.
+    std::string homeDomain;           ///< Home domain of its keyed calls; empty: chosen by hash.
     std::vector<std::string> furtherKeySha256{}; ///< Keys that are valid beside the first one.
-    std::optional<RequestQuota> quota{};         ///< None: the caller's rate is not limited.
+    std::optional<RequestQuota> quota{};         ///< None: only capacity limits its requests.
 };
 
 struct RetryLimits
 {
-    std::uint32_t extraAttempts = 3; ///< Per root request, over its whole call graph.
-    double successShare = 0.1;       ///< Tokens that each success adds to a service's retry bucket.
-    double bucketSize = 10;          ///< Most tokens that a bucket holds.
-    double requestShare = 0;         ///< Tokens that each request adds, whatever its outcome.
+    std::uint32_t extraAttempts =
+            3;                 ///< Most retries of one root request, over its whole call graph.
+    double successShare = 0.1; ///< Tokens that each success adds to a service's retry bucket.
+    double bucketSize = 10;    ///< Most tokens that a bucket holds.
+    double requestShare = 0;   ///< Tokens that each request adds, whatever its outcome.
     /// Most tokens that the buckets of all hosts hold together; 0: only `bucketSize` limits them.
     double fleetBucketSize = 0;
     /// Time over which retries are limited to `requestShare` of the requests; 0: only the bucket limits them.
@@ -141,7 +142,7 @@
     [[nodiscard]] auto findCallerByKeyHash(std::string_view keySha256) const -> const Caller *;
     [[nodiscard]] auto findDomain(std::string_view name) const -> const FailureDomain *;
 
-    /// Returns the services that a call of class `rank` to `service` needs after it, over all call paths with it.
+    /// Returns the services that a call of class `rank` to `service` needs further on, over all paths that include it.
     [[nodiscard]] auto deeperServices(std::string_view service, ClassRank rank) const
             -> std::vector<std::string>;
 };
--- a/include/stairspur/config/Names.h
+++ b/include/stairspur/config/Names.h
@@ -10,7 +10,7 @@
         std::string_view("use 1 to 63 of a-z, 0-9, '-', '_' and '.', the first no '.'");
 
 /// Returns whether `text` is a valid name. Names are parts of keys of the store, section names and idempotency keys, in
-/// all of which '/' is a separator.
+/// all of which '/' has a special meaning.
 constexpr auto isName(std::string_view text) -> bool
 {
     constexpr auto MaxLength = std::size_t{63};
--- a/source/config/ConfigurationFileReader.h
+++ b/source/config/ConfigurationFileReader.h
@@ -52,7 +52,7 @@
                         const Names &names) -> bool;
     auto checkPath(const TableReader &path, const std::vector<LocatedText> &services) -> void;
 
-    /// Returns the tables `[[key]]`. Reports a finding when their number is outside `count`.
+    /// Returns the tables `[[key]]`. Reports a finding when there are fewer or more of them than `count` allows.
     auto readTables(std::string_view key, Range<std::size_t> count)
             -> std::vector<const toml::table *>;
 
