--- a/include/stairspur/config/Configuration.h
+++ b/include/stairspur/config/Configuration.h
@@ -78,11 +78,10 @@
 
 struct RetryLimits
 {
-    std::uint32_t extraAttempts =
-            3;                 ///< Most retries of one root request, over its whole call graph.
-    double successShare = 0.1; ///< Tokens that each success adds to a service's retry bucket.
-    double bucketSize = 10;    ///< Most tokens that a bucket holds.
-    double requestShare = 0;   ///< Tokens that each request adds, whatever its outcome.
+    std::uint32_t extraAttempts = 3; ///< Retries per root request, over its whole call graph.
+    double successShare = 0.1;       ///< Tokens that each success adds to a service's retry bucket.
+    double bucketSize = 10;          ///< Most tokens that a bucket holds.
+    double requestShare = 0;         ///< Tokens that each request adds, whatever its outcome.
     /// Most tokens that the buckets of all hosts hold together; 0: only `bucketSize` limits them.
     double fleetBucketSize = 0;
     /// Time over which retries are limited to `requestShare` of the requests; 0: only the bucket limits them.
