--- a/include/stairspur/node/NodeAdapter.h
+++ b/include/stairspur/node/NodeAdapter.h
@@ -23,7 +23,7 @@
     /// Processes an announcement of the host's backend server. Throws AnnouncementError.
     std::function<void(const membership::Announcement &)> announce;
     /// Records that an incarnation of the backend server has ended. Its announcements are ignored from now on.
-    std::function<void(const membership::BackendIncarnation &life)> leave;
+    std::function<void(const membership::BackendIncarnation &incarnation)> leave;
     /// Returns whether the node is ready to serve callers.
     std::function<bool()> isReady;
     /// Records that an announcement of `instance` was refused; `error` is the reason.
--- a/source/node/ControlPlane.cpp
+++ b/source/node/ControlPlane.cpp
@@ -215,7 +215,7 @@
 {
     return {
             [this](const membership::Announcement &it) { didAnnounce(it); },
-            [this](const membership::BackendIncarnation &life) { didLeave(life); },
+            [this](const membership::BackendIncarnation &incarnation) { didLeave(incarnation); },
             [this] { return isReady(); },
             [this](const std::string &instance, const std::string &error) {
                 m_refusals.didRefuse(instance, error, monotonicNow());
@@ -261,9 +261,9 @@
         publishBackend();
 }
 
-auto ControlPlane::didLeave(const membership::BackendIncarnation &life) -> void
+auto ControlPlane::didLeave(const membership::BackendIncarnation &incarnation) -> void
 {
-    if (m_announcements.leave(life, monotonicNow()))
+    if (m_announcements.leave(incarnation, monotonicNow()))
         publishBackend();
 }
 
--- a/source/node/ControlPlane.h
+++ b/source/node/ControlPlane.h
@@ -108,7 +108,7 @@
     auto makeListeners(transport::asio::io_context &io) -> void;
     auto checkService(const membership::Announcement &announcement) const -> void;
     auto didAnnounce(const membership::Announcement &announcement) -> void;
-    auto didLeave(const membership::BackendIncarnation &life) -> void;
+    auto didLeave(const membership::BackendIncarnation &incarnation) -> void;
     auto publishBackend() -> void;
     auto didChangeView(std::shared_ptr<const membership::MembershipView> view) -> void;
     auto didPublish(config::ConfigurationPtr configuration) -> void;
--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -80,7 +80,7 @@
     const auto limits = service ? service->limits : config::ServiceLimits();
 
     const auto isReplaced = backend.port != m_backend.port || backend.service != m_backend.service
-                            || backend.life != m_backend.life;
+                            || backend.incarnation != m_backend.incarnation;
     auto slots = backend.slots;
     if (limits.maxConcurrency > 0)
         slots = std::min(slots, limits.maxConcurrency);
@@ -125,7 +125,8 @@
 {
     if (!m_protocol)
         return backendRequest(std::move(request), id, remaining);
-    return m_protocol->writeBackendRequest(std::move(request), remaining, m_backend.life.instance);
+    return m_protocol->writeBackendRequest(std::move(request), remaining,
+                                           m_backend.incarnation.instance);
 }
 
 /// Returns the response fields that the entry forwards to the caller. The others are dropped here, because traffic between
--- a/source/node/NodeBoard.h
+++ b/source/node/NodeBoard.h
@@ -26,7 +26,7 @@
     std::uint32_t slots = 0;
     membership::ServingState state = membership::ServingState::Starting;
     std::string address = "127.0.0.1";
-    membership::BackendIncarnation life{};
+    membership::BackendIncarnation incarnation{};
 };
 
 /// Returns whether the backend server is shutting down or has left, so that its end or its silence is planned.
--- a/tests/platform/TestControlApi.cpp
+++ b/tests/platform/TestControlApi.cpp
@@ -190,8 +190,8 @@
     cr_assert_eq(told.announcements.at(1).incarnation.startedAtMs, 1'700'000'000'000);
     handleAnnouncement(request("DELETE", "/v1/instances/i-1", R"({"born":1700000000000})"),
                        told.hooks());
-    const auto life = membership::BackendIncarnation{"i-1", 1'700'000'000'000};
-    cr_assert(told.left == std::vector{life});
+    const auto incarnation = membership::BackendIncarnation{"i-1", 1'700'000'000'000};
+    cr_assert(told.left == std::vector{incarnation});
     handleAnnouncement(request("DELETE", "/v1/instances/i-1", R"({"born":"now"})"), told.hooks());
     cr_assert_eq(told.left.size(), 1);
     cr_assert_eq(told.refusals.size(), 1);
--- a/tests/platform/TestPoisonRequests.cpp
+++ b/tests/platform/TestPoisonRequests.cpp
@@ -66,7 +66,7 @@
                                     .port = upstream.port(),
                                     .slots = 8,
                                     .state = membership::ServingState::Serving,
-                                    .life = {upstream.instance(), 0}};
+                                    .incarnation = {upstream.instance(), 0}};
         host.board.backend.publish(std::move(backend));
         host.gate.refreshFromBoard();
     }
