--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -64,8 +64,8 @@
     m_admission->setDeeperFloors(floors->byRank, floors->byPath);
 }
 
-/// Applies the backend server's announcement. A new backend server, or one that has restarted, starts with the cold limit.
-/// Running calls keep the HTTP client of the former backend server.
+/// Applies the backend server's announcement. A new backend server, or one that has restarted, starts with the initial
+/// limit. Running calls keep the HTTP client of the former backend server.
 auto Gate::refreshBackend() -> void
 {
     const auto generation = m_board.backend.generation();
--- a/tests/fuzz/quarantine/main.cpp
+++ b/tests/fuzz/quarantine/main.cpp
@@ -25,7 +25,7 @@
     try {
         state.receive("b", {reinterpret_cast<const char *>(data), size}, start);
     } catch (const InputError &) {
-        return 0; // The only exception that QuarantineKeeper handles.
+        return 0; // The only exception that QuarantineService handles.
     }
     state.tick(start + std::chrono::seconds(1));
     return 0;
--- a/tests/measure/capacity/Links.cpp
+++ b/tests/measure/capacity/Links.cpp
@@ -107,7 +107,8 @@
     const auto before = heapBytes();
     for (auto n = 0; n < Count; ++n)
         path.start(path.request("menu", "x"));
-    // Those beyond the gate's cold limit wait in its queue: what they hold is the entry's, the link's and the gate's part.
+    // Calls beyond the gate's initial limit wait in its queue. The memory that they use is that of the entry, the link
+    // and the gate.
     path.runUntil([&] { return host.gate.report().queued >= Count; });
     print("calls that wait in the gate's queue", host.gate.report().queued, "");
     print("memory, a call in flight: entry, link and gate", (heapBytes() - before) / Count, "B");
