--- a/tests/distribution/FakeCluster.h
+++ b/tests/distribution/FakeCluster.h
@@ -355,7 +355,6 @@
         });
     }
 
-    /// Sends the store's current head to the watch of a node.
     auto sendHead(const NodeId &id) -> void
     {
         auto &node = nodes[id];
