--- a/source/node/Gate.cpp
+++ b/source/node/Gate.cpp
@@ -20,8 +20,7 @@
 
 /// Interval at which waiting calls are checked against their deadlines.
 static constexpr auto TickInterval = std::chrono::milliseconds(5);
-/// Retry delay of calls to a gate without a serving backend server. Entries learn of the backend server's state within
-/// about this time.
+/// Retry delay of calls to a gate without a serving backend server. Entries receive its state in about this time.
 static constexpr auto UnavailableRetryAfter = Duration{500'000};
 /// Retry delay of a suspected call that got no permit to run alone. It covers several runs.
 static constexpr auto SuspectedRetryAfter = Duration{500'000};
